--- a/crates/core/tests/gateway/budget.rs
+++ b/crates/core/tests/gateway/budget.rs
@@ -21,8 +21,8 @@
 };
 
 use crate::fixture::{
-    ask,
     gateway, //
+    request,
 };
 
 const WINDOW: Millis = Millis(10_000);
@@ -97,10 +97,14 @@
 
 /// Sends a request whose first endpoint fails; gets whether another attempt follows.
 fn fails(gateway: &mut Gateway, now: Time) -> Next {
-    let ask = ask("/read/x");
+    let request = request("/read/x");
     gateway.proved(now, now);
-    let mut ticket = gateway.admit(now, &ask).expect("it is admitted");
-    let placed = gateway.place(now, &ticket, &ask).expect("there is one");
+    let mut ticket = gateway
+        .admit(now, &request)
+        .expect("the request is admitted");
+    let placed = gateway
+        .place(now, &ticket, &request)
+        .expect("an endpoint is available");
     gateway.sent(now, &mut ticket, placed.endpoint);
     gateway.ended(now, &mut ticket, placed.endpoint, Fate::Failed)
 }
--- a/crates/core/tests/gateway/catalog.rs
+++ b/crates/core/tests/gateway/catalog.rs
@@ -20,23 +20,23 @@
 
 use crate::fixture::{
     HOST,
-    raw,
+    raw_catalog,
     route,
     service, //
 };
 
 fn refused(change: impl FnOnce(&mut Raw)) -> Error {
-    let mut raw = raw(1);
+    let mut raw = raw_catalog(1);
     change(&mut raw);
     Catalog::try_from(raw).expect_err("it is refused")
 }
 
 #[gtest]
 fn verify_longest_prefix_wins() {
-    let mut raw = raw(1);
+    let mut raw = raw_catalog(1);
     raw.routes.push(route("deep", "/chat/deep/", Kind::Once));
     raw.routes.push(route("root", "/", Kind::Once));
-    let catalog = Catalog::try_from(raw).expect("it is valid");
+    let catalog = Catalog::try_from(raw).expect("the configuration is valid");
     let named = |path: &str| {
         let found = catalog.route(HOST.as_bytes(), path.as_bytes());
         found.map(|r| String::from_utf8_lossy(&r.name).into_owned())
@@ -51,7 +51,7 @@
 
 #[gtest]
 fn verify_other_hosts_have_no_route() {
-    let catalog = Catalog::try_from(raw(1)).expect("it is valid");
+    let catalog = Catalog::try_from(raw_catalog(1)).expect("the configuration is valid");
     expect_true!(catalog.route(b"other.example", b"/chat/x").is_none());
 }
 
--- a/crates/core/tests/gateway/evacuation.rs
+++ b/crates/core/tests/gateway/evacuation.rs
@@ -17,10 +17,10 @@
 };
 
 use crate::fixture::{
-    ask,
     bounds,
-    catalog,
+    catalog_change,
     entry, //
+    request,
 };
 
 /// Makes a gateway with an endpoint in each of two data centres, that keeps a bound on evacuations.
@@ -29,7 +29,11 @@
     bounds.evacuation = Some(Millis(3000));
     let mut gateway = Gateway::new(bounds, 1);
     gateway.proved(Time(0), Time(0));
-    let changes = vec![catalog(1), Change::Entry(entry(0)), Change::Entry(in_b(1))];
+    let changes = vec![
+        catalog_change(1),
+        Change::Entry(entry(0)),
+        Change::Entry(in_b(1)),
+    ];
     gateway.follow(Time(0), changes);
     gateway
 }
@@ -47,14 +51,16 @@
 
 /// Places a request; gets the data centre of its endpoint, or why there is none.
 fn placed(gateway: &mut Gateway, now: Time) -> Result<Bytes, Cause> {
-    let ask = ask("/read/x");
-    let ticket = gateway.admit(now, &ask).expect("it is admitted");
-    let placed = gateway.place(now, &ticket, &ask);
+    let request = request("/read/x");
+    let ticket = gateway
+        .admit(now, &request)
+        .expect("the request is admitted");
+    let placed = gateway.place(now, &ticket, &request);
     let placed = placed.map_err(|refusal| refusal.cause)?;
     let endpoint = gateway
         .registry()
         .get(placed.endpoint)
-        .expect("it is listed");
+        .expect("the endpoint is listed");
     Ok(endpoint.entry.data_center.clone())
 }
 
@@ -93,9 +99,13 @@
 fn verify_what_was_placed_before_an_evacuation_is_not_sent_after_it() {
     let mut gateway = gateway();
     gateway.follow(Time(5), vec![evacuated("a")]);
-    let ask = ask("/read/x");
-    let ticket = gateway.admit(Time(10), &ask).expect("it is admitted");
-    let placed = gateway.place(Time(10), &ticket, &ask).expect("one is");
+    let request = request("/read/x");
+    let ticket = gateway
+        .admit(Time(10), &request)
+        .expect("the request is admitted");
+    let placed = gateway
+        .place(Time(10), &ticket, &request)
+        .expect("an endpoint is available");
     gateway.follow(Time(20), vec![evacuated("b")]);
     expect_false!(gateway.may_send_placed(Time(20), &ticket, &placed));
 }
@@ -104,9 +114,13 @@
 #[gtest]
 fn verify_nothing_goes_out_once_an_evacuation_could_be_unknown() {
     let mut gateway = gateway();
-    let ask = ask("/read/x");
-    let mut ticket = gateway.admit(Time(10), &ask).expect("it is admitted");
-    let placed = gateway.place(Time(10), &ticket, &ask).expect("one is");
+    let request = request("/read/x");
+    let mut ticket = gateway
+        .admit(Time(10), &request)
+        .expect("the request is admitted");
+    let placed = gateway
+        .place(Time(10), &ticket, &request)
+        .expect("an endpoint is available");
     gateway.sent(Time(2500), &mut ticket, placed.endpoint);
     gateway.confirm(&ticket, placed.endpoint);
     expect_true!(gateway.may_send(Time(2999), placed.endpoint));
@@ -126,13 +140,18 @@
     let mut gateway = gateway();
     let chat = |shared| toucanturn_core::gateway::ask::Ask {
         prompt: Some(crate::fixture::prompt(shared, 1)),
-        ..ask("/chat/x")
+        ..request("/chat/x")
     };
     gateway.follow(Time(10), vec![evacuated("b")]);
     let holder = |gateway: &mut Gateway, now| {
-        let ask = chat(7);
-        let ticket = gateway.admit(now, &ask).expect("it is admitted");
-        gateway.place(now, &ticket, &ask).expect("one is").holder
+        let request = chat(7);
+        let ticket = gateway
+            .admit(now, &request)
+            .expect("the request is admitted");
+        gateway
+            .place(now, &ticket, &request)
+            .expect("an endpoint is available")
+            .holder
     };
     expect_that!(holder(&mut gateway, Time(1000)), some(anything()));
     expect_that!(holder(&mut gateway, Time(1600)), none());
--- a/crates/core/tests/gateway/fixture.rs
+++ b/crates/core/tests/gateway/fixture.rs
@@ -1,4 +1,4 @@
-//! A small published world for the tests.
+//! A small published configuration with endpoints, shared by the tests.
 
 use std::net::{
     Ipv4Addr,
@@ -25,7 +25,7 @@
             Workspace, //
         },
         endpoint::Entry,
-        quarantine::Policy as Hold,
+        quarantine::Policy as QuarantinePolicy,
         route::{
             Kind,
             Route,
@@ -64,7 +64,7 @@
             over: Permille(1500),
             slack: 5,
         },
-        hold: Hold {
+        hold: QuarantinePolicy {
             first: Millis(5000),
         },
     }
@@ -103,7 +103,7 @@
     }
 }
 
-pub(crate) fn raw(version: u64) -> Raw {
+pub(crate) fn raw_catalog(version: u64) -> Raw {
     let workspace = Workspace {
         name: Bytes::from_static(b"one"),
         priority: None,
@@ -122,9 +122,9 @@
     }
 }
 
-pub(crate) fn catalog(version: u64) -> Change {
-    let checked = Catalog::try_from(raw(version)).expect("it is valid");
-    Change::Catalog(Box::new(checked))
+pub(crate) fn catalog_change(version: u64) -> Change {
+    let catalog = Catalog::try_from(raw_catalog(version)).expect("the configuration is valid");
+    Change::Catalog(Box::new(catalog))
 }
 
 pub(crate) fn entry(number: u8) -> Entry {
@@ -140,17 +140,17 @@
     }
 }
 
-/// Makes a gateway that knows a configuration and `endpoints` endpoints, read at time 0.
+/// Makes a gateway with a configuration and `endpoints` endpoints, both read at time 0.
 pub(crate) fn gateway(endpoints: u8) -> Gateway {
     let mut gateway = Gateway::new(bounds(), 1);
-    let mut changes = vec![catalog(1)];
+    let mut changes = vec![catalog_change(1)];
     changes.extend((0..endpoints).map(|n| Change::Entry(entry(n))));
     gateway.proved(Time(0), Time(0));
     gateway.follow(Time(0), changes);
     gateway
 }
 
-pub(crate) fn ask(path: &str) -> Ask {
+pub(crate) fn request(path: &str) -> Ask {
     Ask {
         id: Bytes::from_static(b"a1"),
         host: Bytes::from_static(HOST.as_bytes()),
@@ -161,6 +161,7 @@
     }
 }
 
+/// Makes a prompt of three parts: one that all prompts begin with, then `shared` and `own`.
 pub(crate) fn prompt(shared: u64, own: u64) -> Prompt {
     let part = |id| Part { id, tokens: 1000 };
     Prompt {
--- a/crates/core/tests/gateway/flow.rs
+++ b/crates/core/tests/gateway/flow.rs
@@ -1,4 +1,4 @@
-//! Requests on their way through a gateway.
+//! Tests of a request's path through [`Gateway`]: admission, placement, attempts and refusals.
 
 use bytes::Bytes;
 use googletest::prelude::*;
@@ -21,68 +21,76 @@
 };
 
 use crate::fixture::{
-    ask,
     bounds,
-    catalog,
+    catalog_change,
     gateway, //
+    request,
 };
 
-fn cause(refused: std::result::Result<Ticket, Refusal>) -> (Cause, bool) {
-    let refusal = refused.expect_err("it is refused");
+fn cause_and_retryable(refused: std::result::Result<Ticket, Refusal>) -> (Cause, bool) {
+    let refusal = refused.expect_err("the request is refused");
     expect_false!(refusal.may_have_run);
     (refusal.cause, refusal.again)
 }
 
-/// Sends the next attempt and ends it.
-fn attempt(gateway: &mut Gateway, ticket: &mut Ticket, path: &str, fate: Fate) -> Next {
+/// Sends the next attempt and ends it with `outcome`.
+fn send_attempt(gateway: &mut Gateway, ticket: &mut Ticket, path: &str, outcome: Fate) -> Next {
     let placed = gateway
-        .place(Time(20), ticket, &ask(path))
-        .expect("there is one");
+        .place(Time(20), ticket, &request(path))
+        .expect("an endpoint is available");
     gateway.sent(Time(20), ticket, placed.endpoint);
-    gateway.ended(Time(30), ticket, placed.endpoint, fate)
+    gateway.ended(Time(30), ticket, placed.endpoint, outcome)
 }
 
 #[gtest]
-fn verify_a_gateway_that_knows_nothing_says_so() {
+fn verify_requests_are_refused_as_not_ready_before_the_first_configuration() {
     let mut gateway = Gateway::new(bounds(), 1);
     expect_false!(gateway.ready(Time(0)));
-    let refused = gateway.admit(Time(0), &ask("/chat/x"));
-    expect_that!(cause(refused), eq((Cause::NotReady, true)));
+    let refused = gateway.admit(Time(0), &request("/chat/x"));
+    expect_that!(cause_and_retryable(refused), eq((Cause::NotReady, true)));
 }
 
 #[gtest]
-fn verify_unknown_routes_and_keys_are_refused_for_good() {
+fn verify_unknown_routes_and_keys_are_refused_as_not_retryable() {
     let mut gateway = gateway(2);
-    let unknown = gateway.admit(Time(10), &ask("/nowhere/x"));
-    expect_that!(cause(unknown), eq((Cause::UnknownRoute, false)));
-    let mut stranger = ask("/chat/x");
-    stranger.key = Some(Bytes::from_static(b"other"));
-    let refused = gateway.admit(Time(10), &stranger);
-    expect_that!(cause(refused), eq((Cause::UnknownKey, false)));
-    stranger.key = None;
-    let refused = gateway.admit(Time(10), &stranger);
-    expect_that!(cause(refused), eq((Cause::UnknownKey, false)));
+    let unknown = gateway.admit(Time(10), &request("/nowhere/x"));
+    expect_that!(
+        cause_and_retryable(unknown),
+        eq((Cause::UnknownRoute, false))
+    );
+    let mut unauthorized = request("/chat/x");
+    unauthorized.key = Some(Bytes::from_static(b"other"));
+    let refused = gateway.admit(Time(10), &unauthorized);
+    expect_that!(cause_and_retryable(refused), eq((Cause::UnknownKey, false)));
+    unauthorized.key = None;
+    let refused = gateway.admit(Time(10), &unauthorized);
+    expect_that!(cause_and_retryable(refused), eq((Cause::UnknownKey, false)));
 }
 
-/// Symptom: a request with a key that was taken away ran on a router that was cut off.
-/// Sequence: the router reads the registry at 0 and never again; the key is taken away at 1.
-/// Cause: it acted on a configuration without asking how old it was.
+/// Guards against a partitioned router that admits requests with a revoked key: without a limit on
+/// the age of its configuration, it would never notice that the key was removed.
 #[gtest]
 fn verify_nothing_is_admitted_on_old_knowledge() {
     let mut gateway = gateway(2);
-    expect_that!(gateway.admit(Time(4749), &ask("/chat/x")), ok(anything()));
-    let refused = gateway.admit(Time(4750), &ask("/chat/x"));
-    expect_that!(cause(refused), eq((Cause::Stale, true)));
+    expect_that!(
+        gateway.admit(Time(4749), &request("/chat/x")),
+        ok(anything())
+    );
+    let refused = gateway.admit(Time(4750), &request("/chat/x"));
+    expect_that!(cause_and_retryable(refused), eq((Cause::Stale, true)));
     expect_false!(gateway.ready(Time(4750)));
     gateway.proved(Time(4800), Time(4790));
-    expect_that!(gateway.admit(Time(4800), &ask("/chat/x")), ok(anything()));
+    expect_that!(
+        gateway.admit(Time(4800), &request("/chat/x")),
+        ok(anything())
+    );
 }
 
 #[gtest]
 fn verify_an_older_configuration_changes_nothing() {
     let mut gateway = gateway(1);
-    gateway.follow(Time(1), vec![catalog(9)]);
-    let news = gateway.follow(Time(2), vec![catalog(8)]);
+    gateway.follow(Time(1), vec![catalog_change(9)]);
+    let news = gateway.follow(Time(2), vec![catalog_change(8)]);
     let older = News::Older {
         version: 8,
         held: 9,
@@ -92,107 +100,110 @@
 }
 
 #[gtest]
-fn verify_a_call_that_may_have_run_is_given_up() {
-    for fate in [Fate::Broken, Fate::Stalled, Fate::Failed] {
+fn verify_a_non_idempotent_request_that_may_have_run_is_not_retried() {
+    for outcome in [Fate::Broken, Fate::Stalled, Fate::Failed] {
         let mut gateway = gateway(4);
         let mut ticket = gateway
-            .admit(Time(10), &ask("/once/x"))
-            .expect("it is admitted");
-        let next = attempt(&mut gateway, &mut ticket, "/once/x", fate);
+            .admit(Time(10), &request("/once/x"))
+            .expect("the request is admitted");
+        let next = send_attempt(&mut gateway, &mut ticket, "/once/x", outcome);
         expect_that!(next, eq(Next::GiveUp));
         expect_true!(ticket.may_have_run);
     }
 }
 
 #[gtest]
-fn verify_a_rejected_call_goes_elsewhere() {
+fn verify_a_rejected_request_is_retried_at_another_endpoint() {
     let mut gateway = gateway(4);
     let mut ticket = gateway
-        .admit(Time(10), &ask("/once/x"))
-        .expect("it is admitted");
-    let next = attempt(&mut gateway, &mut ticket, "/once/x", Fate::Rejected);
+        .admit(Time(10), &request("/once/x"))
+        .expect("the request is admitted");
+    let next = send_attempt(&mut gateway, &mut ticket, "/once/x", Fate::Rejected);
     expect_that!(next, eq(Next::Again));
-    let placed = gateway.place(Time(40), &ticket, &ask("/once/x"));
-    let again = placed.expect("there is another").endpoint;
-    expect_false!(ticket.tried.contains(&again));
+    let placed = gateway.place(Time(40), &ticket, &request("/once/x"));
+    let retried = placed.expect("another endpoint is available").endpoint;
+    expect_false!(ticket.tried.contains(&retried));
 }
 
-/// Symptom: "not run" was said of a call that ran.
-/// Sequence: the first attempt breaks off, the second can't be sent at all.
-/// Cause: the answer followed from the last attempt alone.
+/// Guards against a refusal that says "not run" because only the last attempt counts: the first
+/// attempt breaks off and may have run, the second can't be sent.
 #[gtest]
-fn verify_an_earlier_attempt_that_may_have_run_is_not_forgotten() {
+fn verify_a_refusal_reports_that_an_earlier_attempt_may_have_run() {
     let mut gateway = gateway(2);
     let mut ticket = gateway
-        .admit(Time(10), &ask("/read/x"))
-        .expect("it is admitted");
-    let next = attempt(&mut gateway, &mut ticket, "/read/x", Fate::Broken);
+        .admit(Time(10), &request("/read/x"))
+        .expect("the request is admitted");
+    let next = send_attempt(&mut gateway, &mut ticket, "/read/x", Fate::Broken);
     expect_that!(next, eq(Next::Again));
     let placed = gateway
-        .place(Time(40), &ticket, &ask("/read/x"))
-        .expect("there is one");
+        .place(Time(40), &ticket, &request("/read/x"))
+        .expect("an endpoint is available");
     gateway.unreached(Time(50), &mut ticket, placed.endpoint);
-    let refusal = gateway.place(Time(60), &ticket, &ask("/read/x"));
-    let refusal = refusal.expect_err("all were tried");
+    let refusal = gateway.place(Time(60), &ticket, &request("/read/x"));
+    let refusal = refusal.expect_err("all endpoints were tried");
     expect_true!(refusal.may_have_run);
     expect_false!(refusal.again);
 }
 
 #[gtest]
-fn verify_attempts_are_bounded() {
+fn verify_attempts_of_one_request_are_limited() {
     let mut gateway = gateway(5);
     let mut ticket = gateway
-        .admit(Time(10), &ask("/read/x"))
-        .expect("it is admitted");
+        .admit(Time(10), &request("/read/x"))
+        .expect("the request is admitted");
     expect_that!(
-        attempt(&mut gateway, &mut ticket, "/read/x", Fate::Failed),
+        send_attempt(&mut gateway, &mut ticket, "/read/x", Fate::Failed),
         eq(Next::Again)
     );
     expect_that!(
-        attempt(&mut gateway, &mut ticket, "/read/x", Fate::Failed),
+        send_attempt(&mut gateway, &mut ticket, "/read/x", Fate::Failed),
         eq(Next::GiveUp)
     );
 }
 
 #[gtest]
-fn verify_retries_of_all_requests_are_bounded() {
+fn verify_retries_of_all_requests_are_limited() {
     let mut gateway = gateway(5);
-    let again = (0..100).filter(|_| {
+    let retried = (0..100).filter(|_| {
         let mut ticket = gateway
-            .admit(Time(10), &ask("/read/x"))
-            .expect("it is admitted");
-        attempt(&mut gateway, &mut ticket, "/read/x", Fate::Failed) == Next::Again
-            && attempt(&mut gateway, &mut ticket, "/read/x", Fate::Failed) == Next::GiveUp
+            .admit(Time(10), &request("/read/x"))
+            .expect("the request is admitted");
+        send_attempt(&mut gateway, &mut ticket, "/read/x", Fate::Failed) == Next::Again
+            && send_attempt(&mut gateway, &mut ticket, "/read/x", Fate::Failed) == Next::GiveUp
     });
-    expect_that!(again.count(), le(20 + 3));
+    expect_that!(retried.count(), le(20 + 3));
 }
 
 #[gtest]
-fn verify_time_runs_out_at_the_route_s_limit() {
+fn verify_the_route_limit_caps_the_deadline() {
     let mut gateway = gateway(2);
-    let mut patient = ask("/chat/x");
-    patient.deadline = Some(Millis(60_000));
-    let ticket = gateway.admit(Time(10), &patient).expect("it is admitted");
+    let mut long_deadline = request("/chat/x");
+    long_deadline.deadline = Some(Millis(60_000));
+    let ticket = gateway
+        .admit(Time(10), &long_deadline)
+        .expect("the request is admitted");
     expect_that!(ticket.until, eq(Time(4010)));
-    let refusal = gateway.place(Time(4010), &ticket, &patient);
-    expect_that!(refusal.expect_err("it is late").cause, eq(Cause::Deadline));
+    let refusal = gateway.place(Time(4010), &ticket, &long_deadline);
+    expect_that!(
+        refusal.expect_err("the deadline has passed").cause,
+        eq(Cause::Deadline)
+    );
 }
 
-/// Symptom: a stream was cut in its middle when all routers stopped at once.
-/// Sequence: the signal comes; 4.1 s later a request that may last 12 s; the process ends 3.5 s on.
-/// Cause: a stopping router took requests that it could not finish.
+/// Guards against streams that are cut when all routers stop at once: a router accepted a request
+/// that may last 12 s, 4.1 s after the stop signal and 3.5 s before its process ended.
 #[gtest]
 fn verify_a_stopping_router_takes_nothing_that_outlasts_it() {
     let mut gateway = gateway(2);
     gateway.end_at(Time(0), Time(3000));
     gateway.close();
-    expect_that!(gateway.admit(Time(0), &ask("/chat/x")), ok(anything()));
-    let refused = gateway.admit(Time(1), &ask("/chat/x"));
-    expect_that!(cause(refused), eq((Cause::Stopping, true)));
+    expect_that!(gateway.admit(Time(0), &request("/chat/x")), ok(anything()));
+    let refused = gateway.admit(Time(1), &request("/chat/x"));
+    expect_that!(cause_and_retryable(refused), eq((Cause::Stopping, true)));
 }
 
 #[gtest]
-fn verify_callers_come_back_within_a_third_of_their_time() {
+fn verify_retry_after_is_at_most_a_third_of_the_remaining_time() {
     for draw in 0..1000 {
         let wait = come_back(Time(0), Time(600), draw);
         expect_that!(wait.0, le(200));
@@ -202,27 +213,34 @@
     expect_that!(come_back(Time(10), Time(5), 3), eq(Millis(0)));
 }
 
-/// Symptom: a caller waited until its deadline for an endpoint that hung, while others were free.
-/// Sequence: an endpoint takes a request and says nothing.
-/// Cause: nobody asked whether it still lived.
+/// Guards against a caller that waits until its deadline for an endpoint that accepted the request
+/// and hangs, while other endpoints are free.
 #[gtest]
-fn verify_patience_ends_only_where_another_attempt_may_follow() {
+fn verify_the_silence_timeout_applies_only_where_another_attempt_may_follow() {
     let mut gateway = gateway(3);
-    let patience = |gateway: &mut Gateway, path: &str, sends: u32| {
-        let mut ticket = gateway.admit(Time(10), &ask(path)).expect("it is admitted");
-        for _ in 0..sends {
+    let silence_timeouts = |gateway: &mut Gateway, path: &str, attempts: u32| {
+        let mut ticket = gateway
+            .admit(Time(10), &request(path))
+            .expect("the request is admitted");
+        for _ in 0..attempts {
             let placed = gateway
-                .place(Time(20), &ticket, &ask(path))
-                .expect("there is one");
+                .place(Time(20), &ticket, &request(path))
+                .expect("an endpoint is available");
             gateway.sent(Time(20), &mut ticket, placed.endpoint);
         }
         let first = gateway.silence_timeout(Time(30), &ticket, false);
         (first, gateway.silence_timeout(Time(30), &ticket, true))
     };
-    // Twice the goal before the first event, four pauses after it.
-    let chat = patience(&mut gateway, "/chat/x", 1);
-    expect_that!(chat, eq((Some(Millis(1000)), Some(Millis(1200)))));
-    // What may have run once, and what has no attempt left, is waited for.
-    expect_that!(patience(&mut gateway, "/once/x", 1), eq((None, None)));
-    expect_that!(patience(&mut gateway, "/chat/x", 2), eq((None, None)));
+    // Twice the route's goal before the first event; four times its longest pause after it.
+    let stream = silence_timeouts(&mut gateway, "/chat/x", 1);
+    expect_that!(stream, eq((Some(Millis(1000)), Some(Millis(1200)))));
+    // No timeout applies to a non-idempotent request that may have run, nor to the last attempt.
+    expect_that!(
+        silence_timeouts(&mut gateway, "/once/x", 1),
+        eq((None, None))
+    );
+    expect_that!(
+        silence_timeouts(&mut gateway, "/chat/x", 2),
+        eq((None, None))
+    );
 }
--- a/crates/core/tests/gateway/lives.rs
+++ b/crates/core/tests/gateway/lives.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again under the name that they had, and entries that name nobody.
+//! Tests of endpoints that restart under the same id, and of entries that can't be used.
 
 use bytes::Bytes;
 use googletest::prelude::*;
@@ -34,68 +34,70 @@
 };
 
 use crate::fixture::{
-    ask,
     entry,
     gateway, //
+    request,
 };
 
-fn born(number: u8, at: u64) -> Entry {
+fn entry_started_at(number: u8, at: u64) -> Entry {
     Entry {
         born: Some(Wall(at)),
         ..entry(number)
     }
 }
 
-fn put(gateway: &mut Gateway, now: u64, entry: Entry) {
+fn apply_entry(gateway: &mut Gateway, now: u64, entry: Entry) {
     gateway.follow(Time(now), vec![Change::Entry(entry)]);
 }
 
-fn usable(gateway: &Gateway) -> usize {
+fn usable_count(gateway: &Gateway) -> usize {
     gateway.registry().of(b"engines").count()
 }
 
-/// Symptom: a restarted endpoint got no work. Sequence: it leaves, ends, and starts again under its name
-/// before its entry is gone. Cause: what leaves was taken to leave for good.
+/// Guards against a restarted endpoint that gets no requests: it leaves, stops, and starts again
+/// under the same id before its old entry is removed, and the router still takes it for leaving.
 #[gtest]
-fn verify_a_new_life_is_not_leaving() {
+fn verify_a_restarted_endpoint_is_no_longer_leaving() {
     let mut gateway = gateway(0);
-    put(&mut gateway, 1, born(0, 100));
+    apply_entry(&mut gateway, 1, entry_started_at(0, 100));
     let leaving = Entry {
         leaving: true,
-        ..born(0, 100)
+        ..entry_started_at(0, 100)
     };
-    put(&mut gateway, 2, leaving);
-    expect_that!(usable(&gateway), eq(0));
-    put(&mut gateway, 3, born(0, 200));
-    expect_that!(usable(&gateway), eq(1));
-    // An entry of the life before that came late says nothing any more.
-    put(&mut gateway, 4, born(0, 100));
+    apply_entry(&mut gateway, 2, leaving);
+    expect_that!(usable_count(&gateway), eq(0));
+    apply_entry(&mut gateway, 3, entry_started_at(0, 200));
+    expect_that!(usable_count(&gateway), eq(1));
+    // A late entry of the old incarnation is ignored.
+    apply_entry(&mut gateway, 4, entry_started_at(0, 100));
     let (_, endpoint) = gateway
         .registry()
         .of(b"engines")
         .next()
-        .expect("it is there");
+        .expect("the endpoint is listed");
     expect_that!(endpoint.entry.born, some(eq(Wall(200))));
 }
 
-/// Symptom: requests went past an idle endpoint, and prompts were fetched from one that held nothing.
-/// Sequence: an endpoint with many requests restarts under its name. Cause: its load, its pauses and what
-/// it was taken to hold were those of the life before.
+/// Guards against a busy endpoint that restarts under the same id and inherits the old load, pauses
+/// and cache contents: requests avoid it though it is idle, and prompts are fetched from it though
+/// its cache is empty.
 #[gtest]
-fn verify_a_new_life_is_known_by_nothing_of_before() {
+fn verify_a_restarted_endpoint_inherits_no_state() {
     let mut gateway = gateway(0);
-    put(&mut gateway, 0, born(0, 100));
-    put(&mut gateway, 1, born(1, 100));
+    apply_entry(&mut gateway, 0, entry_started_at(0, 100));
+    apply_entry(&mut gateway, 1, entry_started_at(1, 100));
     let (key, _) = gateway
         .registry()
         .of(b"engines")
         .next()
-        .expect("it is there");
+        .expect("the endpoint is listed");
     let name = |g: &Gateway, k| g.registry().get(k).map(|e| e.entry.id.clone());
-    let id = name(&gateway, key).expect("it is there");
+    let id = name(&gateway, key).expect("the endpoint is listed");
     let number = if id == "e-0" { 0 } else { 1 };
-    let ask = ask("/chat/x");
-    let mut ticket = gateway.admit(Time(5), &ask).expect("it is admitted");
+    let request = request("/chat/x");
+    let mut ticket = gateway
+        .admit(Time(5), &request)
+        .expect("the request is admitted");
     gateway.sent(Time(5), &mut ticket, key);
     let load = Load {
         running: 40,
@@ -104,27 +106,34 @@
     };
     gateway.stated(Time(6), key, load);
     let (sights, _) = gateway.observed(Time(7), 1);
-    put(&mut gateway, 8, born(number, 200));
+    apply_entry(&mut gateway, 8, entry_started_at(number, 200));
     expect_that!(gateway.registry().get(key).is_none(), eq(true));
-    // News of the life before, from a router that has not heard of the restart.
+    // A report about the old incarnation, from a router that has not heard of the restart.
     gateway.seen(Time(9), &sights);
     let mut all = gateway.registry().of(b"engines");
-    let (new, endpoint) = all.find(|(_, e)| e.entry.id == id).expect("it is there");
+    let (new, endpoint) = all
+        .find(|(_, e)| e.entry.id == id)
+        .expect("the endpoint is listed");
     expect_that!(new, not(eq(key)));
     expect_that!(endpoint.load(Time(9)), eq(0));
     expect_true!(endpoint.young(Time(9)));
 }
 
-/// What was sent to the life before may have run: the new one can't say that it did not.
+/// A request that was sent to the old incarnation may have run, and a rejection by the new one does
+/// not disprove it.
 #[gtest]
-fn verify_a_new_life_does_not_answer_for_the_one_before() {
+fn verify_a_rejection_after_a_restart_does_not_prove_that_a_request_did_not_run() {
     let mut gateway = gateway(0);
-    put(&mut gateway, 0, born(0, 100));
-    let ask = ask("/once/x");
-    let mut ticket = gateway.admit(Time(5), &ask).expect("it is admitted");
-    let placed = gateway.place(Time(5), &ticket, &ask).expect("there is one");
+    apply_entry(&mut gateway, 0, entry_started_at(0, 100));
+    let request = request("/once/x");
+    let mut ticket = gateway
+        .admit(Time(5), &request)
+        .expect("the request is admitted");
+    let placed = gateway
+        .place(Time(5), &ticket, &request)
+        .expect("an endpoint is available");
     gateway.sent(Time(5), &mut ticket, placed.endpoint);
-    put(&mut gateway, 6, born(0, 200));
+    apply_entry(&mut gateway, 6, entry_started_at(0, 200));
     let next = gateway.ended(Time(7), &mut ticket, placed.endpoint, Fate::Broken);
     expect_that!(next, eq(Next::GiveUp));
     expect_true!(ticket.may_have_run);
@@ -132,50 +141,56 @@
         .registry()
         .of(b"engines")
         .next()
-        .expect("it is there");
+        .expect("the endpoint is listed");
     let next = gateway.ended(Time(8), &mut ticket, new, Fate::Rejected);
     expect_that!(next, eq(Next::GiveUp));
     expect_true!(ticket.may_have_run);
 }
 
-/// Symptom: a restarted endpoint was gone for good. Sequence: one read tells that its entry was removed
-/// and that it is there again. Cause: all removals of a read came after its entries.
+/// Guards against a restarted endpoint that stays removed: one read contains the removal of its entry
+/// and then the new entry, and all removals of the read were applied last.
 #[gtest]
-fn verify_an_entry_that_is_back_in_the_same_read_stays() {
+fn verify_changes_of_one_read_are_applied_in_order() {
     let mut gateway = gateway(0);
-    put(&mut gateway, 0, born(0, 100));
-    let gone = Change::Removed(Bytes::from_static(b"e-0"));
-    gateway.follow(Time(5), vec![gone.clone(), Change::Entry(born(0, 200))]);
-    expect_that!(usable(&gateway), eq(1));
-    gateway.follow(Time(6), vec![Change::Entry(born(0, 300)), gone]);
-    expect_that!(usable(&gateway), eq(0));
+    apply_entry(&mut gateway, 0, entry_started_at(0, 100));
+    let removal = Change::Removed(Bytes::from_static(b"e-0"));
+    gateway.follow(
+        Time(5),
+        vec![removal.clone(), Change::Entry(entry_started_at(0, 200))],
+    );
+    expect_that!(usable_count(&gateway), eq(1));
+    gateway.follow(
+        Time(6),
+        vec![Change::Entry(entry_started_at(0, 300)), removal],
+    );
+    expect_that!(usable_count(&gateway), eq(0));
 }
 
-/// Symptom: requests went to an endpoint whose entry another writer had replaced.
-/// Sequence: a sound entry is overwritten by one that can't be read, or that lacks the start which the
-/// endpoint always states; a sound one comes back. Cause: what is no entry changed nothing.
+/// Guards against requests to an endpoint whose entry another writer has overwritten, because invalid
+/// entries were ignored. The invalid entry can't be parsed, or lacks the start time that this endpoint
+/// always states.
 #[gtest]
-fn verify_an_entry_of_another_writer_names_nobody() {
+fn verify_an_invalid_entry_makes_its_endpoint_unusable() {
     let mut gateway = gateway(0);
-    for odd in [
+    for invalid in [
         Change::Unreadable(Bytes::from_static(b"e-0")),
         Change::Entry(entry(0)),
     ] {
-        put(&mut gateway, 0, born(0, 100));
-        put(&mut gateway, 0, born(1, 100));
-        gateway.follow(Time(5), vec![odd]);
-        expect_that!(usable(&gateway), eq(1));
-        put(&mut gateway, 6, born(0, 100));
-        expect_that!(usable(&gateway), eq(2));
+        apply_entry(&mut gateway, 0, entry_started_at(0, 100));
+        apply_entry(&mut gateway, 0, entry_started_at(1, 100));
+        gateway.follow(Time(5), vec![invalid]);
+        expect_that!(usable_count(&gateway), eq(1));
+        apply_entry(&mut gateway, 6, entry_started_at(0, 100));
+        expect_that!(usable_count(&gateway), eq(2));
     }
 }
 
-/// `Step` is one thing that happens to the registry or to what routers know of it.
+/// `Step` is one change of the registry, or of what a router knows of it.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// An endpoint beats: number, life, whether it leaves.
-    Beat(u8, u64, bool),
-    /// Its entry goes.
+    /// An endpoint writes its entry: number, incarnation, whether it is leaving.
+    Heartbeat(u8, u64, bool),
+    /// An endpoint's entry is removed.
     Remove(u8),
     /// A router reads the registry.
     Read(usize),
@@ -183,16 +198,17 @@
     Copy(usize, usize),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        (0..3_u8, 1..5_u64, prop::bool::weighted(0.2)).prop_map(|(n, l, d)| Step::Beat(n, l, d)),
+        (0..3_u8, 1..5_u64, prop::bool::weighted(0.2))
+            .prop_map(|(n, i, d)| Step::Heartbeat(n, i, d)),
         (0..3_u8).prop_map(Step::Remove),
         (0..3_usize).prop_map(Step::Read),
         (0..3_usize, 0..3_usize).prop_map(|(a, b)| Step::Copy(a, b)),
     ]
 }
 
-/// A router's copy of the registry, and what it makes of it.
+/// `Router` is a router's copy of the registry, and the gateway that follows it.
 struct Router {
     mirror: Mirror,
     gateway: Gateway,
@@ -207,14 +223,14 @@
             };
             Change::Entry(Entry {
                 leaving: value[1] == 1,
-                ..born(number, u64::from(value[0]))
+                ..entry_started_at(number, u64::from(value[0]))
             })
         };
         let changes = records.iter().map(change).collect();
         self.gateway.follow(Time(now), changes);
     }
 
-    /// Lists what it knows: name, life, whether it may get work.
+    /// Lists the known endpoints: id, start time, whether they may get requests.
     fn known(&self) -> Vec<(Bytes, Option<Wall>, bool)> {
         let all = self.gateway.registry().known(b"engines");
         let mut all: Vec<_> = all
@@ -231,16 +247,16 @@
         ..proptest::prelude::ProptestConfig::default()
     })]
 
-    /// Whatever is read and copied in which order, routers that have caught up agree with one that has
-    /// followed each change, on which life it is and whether it may get work.
+    /// In whatever order routers read the registry and copy from each other, those that have caught up
+    /// agree with one that followed each change on incarnations and on which endpoints are usable.
     #[test]
-    fn verify_routers_agree_on_lives(steps in prop::collection::vec(step(), 1..60)) {
+    fn verify_routers_agree_on_incarnations(steps in prop::collection::vec(any_step(), 1..60)) {
         let router = || Router { mirror: Mirror::default(), gateway: gateway(0) };
         let mut store = Mirror::default();
         let mut routers = [router(), router(), router()];
-        let mut witness = router();
-        let mut lives = [0_u64; 3];
-        let mut left = [0_u64; 3];
+        let mut reference = router();
+        let mut incarnations = [0_u64; 3];
+        let mut leaving_incarnations = [0_u64; 3];
         let mut now = 0;
         for step in steps {
             now += 1;
@@ -251,25 +267,25 @@
                 records: vec![Record { key: Bytes::from(vec![number]), value, revision }],
             };
             match step {
-                Step::Beat(number, life, leaving) => {
-                    // Lives of a name go up; one that has said that it leaves says so to its end.
+                Step::Heartbeat(number, incarnation, leaving) => {
+                    // Incarnations of an id increase, and one that is leaving stays so.
                     let at = usize::from(number);
-                    lives[at] = lives[at].max(life);
+                    incarnations[at] = incarnations[at].max(incarnation);
                     if leaving {
-                        left[at] = lives[at];
+                        leaving_incarnations[at] = incarnations[at];
                     }
-                    let state = u8::from(left[at] == lives[at]);
-                    let life = u8::try_from(lives[at]).unwrap_or_default();
-                    let value = Bytes::from(vec![life, state]);
+                    let state = u8::from(leaving_incarnations[at] == incarnations[at]);
+                    let incarnation = u8::try_from(incarnations[at]).unwrap_or_default();
+                    let value = Bytes::from(vec![incarnation, state]);
                     store.apply(write(number, Some(value)));
                 }
                 Step::Remove(number) => {
                     store.apply(write(number, None));
                 }
-                Step::Read(who) => {
-                    let delta = store.since(routers[who].mirror.revision());
-                    let records = routers[who].mirror.apply(delta);
-                    routers[who].follow(now, &records);
+                Step::Read(reader) => {
+                    let delta = store.since(routers[reader].mirror.revision());
+                    let records = routers[reader].mirror.apply(delta);
+                    routers[reader].follow(now, &records);
                 }
                 Step::Copy(from, to) if from != to => {
                     let held = routers[to].mirror.revision();
@@ -279,15 +295,15 @@
                 }
                 Step::Copy(..) => {}
             }
-            let delta = store.since(witness.mirror.revision());
-            let records = witness.mirror.apply(delta);
-            witness.follow(now, &records);
+            let delta = store.since(reference.mirror.revision());
+            let records = reference.mirror.apply(delta);
+            reference.follow(now, &records);
         }
         for router in &mut routers {
             let delta = store.since(router.mirror.revision());
             let records = router.mirror.apply(delta);
             router.follow(now + 1, &records);
-            prop_assert_eq!(router.known(), witness.known());
+            prop_assert_eq!(router.known(), reference.known());
         }
     }
 }
--- a/crates/core/tests/gateway/main.rs
+++ b/crates/core/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's decisions, without I/O.
+//! Tests of the gateway's decision logic, which does no I/O.
 
 #![expect(clippy::expect_used, reason = "a test fails by its panic")]
 
--- a/crates/core/tests/gateway/place.rs
+++ b/crates/core/tests/gateway/place.rs
@@ -1,4 +1,4 @@
-//! Which endpoint gets a request.
+//! Tests of placement: which endpoint gets a request.
 
 use googletest::prelude::*;
 use toucanturn_core::{
@@ -18,43 +18,45 @@
 };
 
 use crate::fixture::{
-    ask,
     entry,
     gateway,
     prompt, //
+    request,
 };
 
-fn chat(shared: u64, own: u64) -> Ask {
+fn chat_request(shared: u64, own: u64) -> Ask {
     Ask {
         prompt: Some(prompt(shared, own)),
-        ..ask("/chat/x")
+        ..request("/chat/x")
     }
 }
 
-fn admit(gateway: &mut Gateway, ask: &Ask) -> Ticket {
-    gateway.admit(Time(10), ask).expect("it is admitted")
+fn admit_request(gateway: &mut Gateway, request: &Ask) -> Ticket {
+    gateway
+        .admit(Time(10), request)
+        .expect("the request is admitted")
 }
 
-fn place(gateway: &mut Gateway, ask: &Ask) -> EndpointKey {
-    let ticket = admit(gateway, ask);
-    let placed = gateway.place(Time(10), &ticket, ask);
-    placed.expect("there is one").endpoint
+fn place_request(gateway: &mut Gateway, request: &Ask) -> EndpointKey {
+    let ticket = admit_request(gateway, request);
+    let placed = gateway.place(Time(10), &ticket, request);
+    placed.expect("an endpoint is available").endpoint
 }
 
-fn name(gateway: &Gateway, key: EndpointKey) -> bytes::Bytes {
-    let endpoint = gateway.registry().get(key).expect("it is listed");
+fn endpoint_id(gateway: &Gateway, key: EndpointKey) -> bytes::Bytes {
+    let endpoint = gateway.registry().get(key).expect("the endpoint is listed");
     endpoint.entry.id.clone()
 }
 
-/// Routers that have never heard of each other, with other random numbers, agree.
+/// The routers don't know each other and draw different random numbers.
 #[gtest]
-fn verify_prompts_with_a_shared_part_meet_whichever_router_they_come_by() {
+fn verify_routers_place_prompts_with_a_shared_part_at_the_same_endpoint() {
     let (mut one, mut other) = (gateway(12), gateway(12));
     other.draw();
     for shared in 0..50 {
-        let first = place(&mut one, &chat(shared, 1));
-        let second = place(&mut other, &chat(shared, 2));
-        let same = name(&one, first) == name(&other, second);
+        let first = place_request(&mut one, &chat_request(shared, 1));
+        let second = place_request(&mut other, &chat_request(shared, 2));
+        let same = endpoint_id(&one, first) == endpoint_id(&other, second);
         expect_true!(same, "part {shared}");
     }
 }
@@ -65,10 +67,10 @@
     let mut less = gateway(11);
     let mut moved = 0;
     for shared in 0..400 {
-        let before = place(&mut full, &chat(shared, 1));
-        let after = place(&mut less, &chat(shared, 1));
-        let before = name(&full, before);
-        if before != name(&less, after) {
+        let before = place_request(&mut full, &chat_request(shared, 1));
+        let after = place_request(&mut less, &chat_request(shared, 1));
+        let before = endpoint_id(&full, before);
+        if before != endpoint_id(&less, after) {
             expect_that!(before, eq(&bytes::Bytes::from_static(b"e-11")));
             moved += 1;
         }
@@ -76,18 +78,18 @@
     expect_that!(moved, all!(gt(10), lt(80)));
 }
 
-/// However hot one part is, no request goes to an endpoint that already has over the published
-/// multiple of the mean and three more.
+/// However often one prompt part is requested, no request goes to an endpoint whose load is over the
+/// published multiple of the mean plus three.
 #[gtest]
-fn verify_a_hot_part_spreads_before_its_endpoint_is_over_the_multiple() {
+fn verify_no_endpoint_exceeds_the_multiple_under_a_hot_part() {
     let mut gateway = gateway(12);
     let mut own: std::collections::HashMap<EndpointKey, u32> = Default::default();
     for n in 0..240_u16 {
-        let ask = chat(7, n.into());
-        let mut ticket = admit(&mut gateway, &ask);
+        let request = chat_request(7, n.into());
+        let mut ticket = admit_request(&mut gateway, &request);
         let placed = gateway
-            .place(Time(10), &ticket, &ask)
-            .expect("there is one");
+            .place(Time(10), &ticket, &request)
+            .expect("an endpoint is available");
         let held = own.entry(placed.endpoint).or_default();
         let mean = f64::from(n) / 12.0;
         expect_that!(f64::from(*held), le(2.0 * mean + 3.0));
@@ -97,43 +99,46 @@
 }
 
 #[gtest]
-fn verify_a_stated_load_keeps_work_away() {
+fn verify_a_high_reported_load_diverts_requests() {
     let mut gateway = gateway(12);
-    let first = place(&mut gateway, &chat(7, 1));
+    let first = place_request(&mut gateway, &chat_request(7, 1));
     let load = Load {
         running: 40,
         waiting: 3,
         slots: 64,
     };
     gateway.stated(Time(10), first, load);
-    expect_that!(place(&mut gateway, &chat(7, 2)), not(eq(first)));
+    expect_that!(
+        place_request(&mut gateway, &chat_request(7, 2)),
+        not(eq(first))
+    );
 }
 
 #[gtest]
-fn verify_paused_endpoints_are_passed_over_while_others_are_there() {
+fn verify_paused_endpoints_are_skipped_while_others_are_available() {
     let mut gateway = gateway(2);
-    let ask = chat(7, 1);
-    let first = place(&mut gateway, &ask);
-    let mut ticket = admit(&mut gateway, &ask);
+    let request = chat_request(7, 1);
+    let first = place_request(&mut gateway, &request);
+    let mut ticket = admit_request(&mut gateway, &request);
     gateway.unreached(Time(10), &mut ticket, first);
-    let second = place(&mut gateway, &ask);
+    let second = place_request(&mut gateway, &request);
     expect_that!(second, not(eq(first)));
     gateway.unreached(Time(10), &mut ticket, second);
-    // Nobody else is left: a paused one is better than none.
-    let one = place(&mut gateway, &ask);
+    // All endpoints are paused, and a paused one is better than none.
+    let one = place_request(&mut gateway, &request);
     expect_true!(one == first || one == second);
 }
 
 #[gtest]
-fn verify_requests_without_a_prompt_go_where_the_least_is_in_progress() {
+fn verify_requests_without_a_prompt_go_to_the_least_loaded_endpoint() {
     let mut gateway = gateway(4);
-    let ask = ask("/read/x");
+    let request = request("/read/x");
     let mut seen = Vec::new();
     for _ in 0..4 {
-        let mut ticket = admit(&mut gateway, &ask);
+        let mut ticket = admit_request(&mut gateway, &request);
         let placed = gateway
-            .place(Time(10), &ticket, &ask)
-            .expect("there is one");
+            .place(Time(10), &ticket, &request)
+            .expect("an endpoint is available");
         gateway.sent(Time(10), &mut ticket, placed.endpoint);
         expect_false!(seen.contains(&placed.endpoint));
         seen.push(placed.endpoint);
@@ -141,31 +146,31 @@
 }
 
 #[gtest]
-fn verify_an_endpoint_that_fails_often_gets_less() {
+fn verify_an_endpoint_that_fails_often_is_avoided() {
     let mut gateway = gateway(4);
-    let ask = ask("/read/x");
-    let bad = place(&mut gateway, &ask);
+    let request = request("/read/x");
+    let bad = place_request(&mut gateway, &request);
     for _ in 0..8 {
-        let mut ticket = admit(&mut gateway, &ask);
+        let mut ticket = admit_request(&mut gateway, &request);
         gateway.sent(Time(10), &mut ticket, bad);
         gateway.ended(Time(10), &mut ticket, bad, Fate::Failed);
     }
-    let again = (0..100).filter(|_| place(&mut gateway, &ask) == bad);
+    let again = (0..100).filter(|_| place_request(&mut gateway, &request) == bad);
     expect_that!(again.count(), eq(0));
 }
 
-/// Symptom: while all engines failed a part of their requests, prompts were read again all over the service,
-/// and all became late. Sequence: each engine's share of failures rises alike. Cause: failures counted as
-/// load in full, so each engine was over its limit, and prompts left the ones that held them.
+/// Guards against prompts that leave the engines that cache them when all engines fail a part of their
+/// requests: failures counted as load in full, so each engine was over its limit, prompts were processed
+/// again at other engines, and all answers became late.
 #[gtest]
-fn verify_prompts_stay_where_all_endpoints_fail_alike() {
+fn verify_prompts_stay_at_their_endpoints_when_all_fail_alike() {
     let mut gateway = gateway(9);
-    let home = |gateway: &mut Gateway, shared| place(gateway, &chat(shared, 1));
+    let home = |gateway: &mut Gateway, shared| place_request(gateway, &chat_request(shared, 1));
     let before: Vec<_> = (0..40).map(|s| home(&mut gateway, s)).collect();
     let all: Vec<_> = gateway.registry().of(b"engines").map(|(k, _)| k).collect();
     for _ in 0..8 {
         for key in &all {
-            let mut ticket = admit(&mut gateway, &chat(1, 1));
+            let mut ticket = admit_request(&mut gateway, &chat_request(1, 1));
             gateway.sent(Time(10), &mut ticket, *key);
             gateway.ended(Time(10), &mut ticket, *key, Fate::Failed);
         }
@@ -174,16 +179,20 @@
     expect_that!(during, eq(&before));
 }
 
-/// Symptom: after a release or a new endpoint, prompts were read again that others still held.
-/// Sequence: an endpoint joins and becomes the first for some parts; or the first one leaves.
-/// Cause: who held a part until then was forgotten.
+/// Guards against processing prompts again that another endpoint still caches: an endpoint joins and
+/// becomes the preferred one for some prompt parts, or the preferred one leaves, and the previous holder
+/// is not remembered.
 #[gtest]
-fn verify_a_prompt_that_moves_fetches_from_who_held_it() {
+fn verify_a_moved_prompt_is_fetched_from_its_previous_endpoint() {
     let mut gateway = gateway(8);
     let placed = |gateway: &mut Gateway, shared, at| {
-        let ask = chat(shared, 1);
-        let ticket = gateway.admit(at, &ask).expect("it is admitted");
-        gateway.place(at, &ticket, &ask).expect("there is one")
+        let request = chat_request(shared, 1);
+        let ticket = gateway
+            .admit(at, &request)
+            .expect("the request is admitted");
+        gateway
+            .place(at, &ticket, &request)
+            .expect("an endpoint is available")
     };
     let before: Vec<_> = (0..60)
         .map(|s| placed(&mut gateway, s, Time(10)).endpoint)
@@ -201,14 +210,16 @@
         }
     }
     expect_that!(moved, gt(1));
-    // Once it has been there for a while it holds what it gets.
+    // An endpoint that has been listed for a while caches its prompts itself.
     gateway.proved(Time(20_000), Time(20_000));
     let settled = placed(&mut gateway, 3, Time(20_000));
     expect_that!(settled.holder, not(eq(Some(settled.endpoint))));
-    // One that leaves can still be fetched from.
+    // Prompts can still be fetched from a leaving endpoint.
     let held = placed(&mut gateway, 3, Time(20_000)).endpoint;
-    let id = name(&gateway, held);
-    let number = String::from_utf8_lossy(&id[2..]).parse().expect("a number");
+    let id = endpoint_id(&gateway, held);
+    let number = String::from_utf8_lossy(&id[2..])
+        .parse()
+        .expect("the id ends with a number");
     let mut leaving = entry(number);
     leaving.leaving = true;
     gateway.follow(Time(20_010), vec![Change::Entry(leaving)]);
@@ -217,68 +228,65 @@
     expect_that!(next.holder, some(eq(held)));
 }
 
-/// Symptom: prompts were read again at their first endpoint, though the second one held them. Sequence: the
-/// first is at its limit when a part is asked for, so the second reads it; then the first has room again.
-/// Cause: only an endpoint that stood in for the first one was told from whom to fetch.
+/// Guards against processing prompts again at their preferred endpoint though the second one caches them:
+/// the second processed them while the first was at its limit, and a holder was named only for requests
+/// that went to a substitute, not for those that return to the preferred endpoint.
 #[gtest]
-fn verify_the_first_endpoint_fetches_from_who_stood_in_for_it() {
+fn verify_the_preferred_endpoint_fetches_from_its_substitute() {
     for shared in 0..20 {
         let mut gateway = gateway(8);
-        let ask = chat(shared, 1);
-        let home = place(&mut gateway, &ask);
+        let request = chat_request(shared, 1);
+        let home = place_request(&mut gateway, &request);
         let load = |running| Load {
             running,
             waiting: 0,
             slots: 64,
         };
         gateway.stated(Time(10), home, load(60));
-        let other = place(&mut gateway, &ask);
+        let other = place_request(&mut gateway, &request);
         expect_that!(other, not(eq(home)));
         gateway.stated(Time(10), home, load(0));
-        let ticket = admit(&mut gateway, &ask);
+        let ticket = admit_request(&mut gateway, &request);
         let placed = gateway
-            .place(Time(10), &ticket, &ask)
-            .expect("there is one");
+            .place(Time(10), &ticket, &request)
+            .expect("an endpoint is available");
         expect_that!(placed.endpoint, eq(home));
         expect_that!(placed.holder, some(eq(other)));
     }
 }
 
-/// Symptom: connections were reset under load, and calls that may run once were lost with them.
-/// Sequence: an endpoint takes 100 connections from all; each of ten routers opens as many as it
-/// needs.
-/// Cause: the bound was taken for each router's own.
+/// Guards against connections that an endpoint resets under load, which loses non-idempotent requests:
+/// its limit of 100 connections holds for all ten routers together, not for each of them.
 #[gtest]
-fn verify_a_router_keeps_to_its_part_of_the_connections() {
+fn verify_a_router_uses_only_its_share_of_the_connection_limit() {
     let mut gateway = gateway(2);
     gateway.fleet(Time(0), 10);
-    let ask = ask("/read/x");
+    let request = request("/read/x");
     for _ in 0..20 {
-        let mut ticket = admit(&mut gateway, &ask);
+        let mut ticket = admit_request(&mut gateway, &request);
         let placed = gateway
-            .place(Time(10), &ticket, &ask)
-            .expect("there is room");
+            .place(Time(10), &ticket, &request)
+            .expect("an endpoint has a free connection");
         gateway.sent(Time(10), &mut ticket, placed.endpoint);
     }
-    let ticket = admit(&mut gateway, &ask);
+    let ticket = admit_request(&mut gateway, &request);
     let refusal = gateway
-        .place(Time(10), &ticket, &ask)
-        .expect_err("both are full");
+        .place(Time(10), &ticket, &request)
+        .expect_err("both endpoints are at the limit");
     expect_false!(refusal.may_have_run);
-    // However many routers there are, each gets a little through.
+    // However many routers there are, each may use a few connections.
     gateway.fleet(Time(0), 1000);
     let own = gateway.registry().usable().map(|(_, e)| e.own);
     expect_that!(own.max(), some(eq(10)));
 }
 
-/// Symptom: seconds after a cold start 3.2 % of the requests reached endpoints over the multiple.
-/// Sequence: 83 routers hear of an endpoint's load half a second late; each sends it a few more.
-/// Cause: a load of then was taken for one of now.
+/// Guards against overloaded endpoints after a cold start, when 3.2 % of the requests reached endpoints over
+/// the multiple: 83 routers learn an endpoint's load half a second late, and each sends it a few more requests.
 #[gtest]
 fn verify_an_old_load_leaves_a_wider_margin() {
     let limit_after = |age: u64| {
         let mut gateway = gateway(4);
-        let first = place(&mut gateway, &chat(7, 1));
+        let first = place_request(&mut gateway, &chat_request(7, 1));
         let load = |running| Load {
             running,
             waiting: 0,
@@ -288,11 +296,11 @@
         for key in keys {
             gateway.stated(Time(10), key, load(6));
         }
-        let ask = chat(7, 2);
-        let ticket = admit(&mut gateway, &ask);
+        let request = chat_request(7, 2);
+        let ticket = admit_request(&mut gateway, &request);
         let now = Time(10 + age);
-        let placed = gateway.place(now, &ticket, &ask);
-        let placed = placed.expect("there is one");
+        let placed = gateway.place(now, &ticket, &request);
+        let placed = placed.expect("an endpoint is available");
         expect_that!(placed.endpoint, eq(first));
         let loads = gateway.registry().usable().map(|(_, e)| e.load(now));
         (placed.limit, loads.sum::<u32>() as f32 / 4.0)
@@ -306,18 +314,16 @@
     expect_that!(old.0, all!(ge(old.1 * 1.3), lt(old.1 * 1.3 + 1.6)));
 }
 
-/// Symptom: an endpoint idles for a quarter of a minute after it failed for a while, and the others
-/// reject half of what comes.
-/// Sequence: one of three endpoints that state no load breaks off for seconds, then is sound again.
-/// Cause: its share of failures shrank by its answers alone, and as long as it was held against it, it
-/// had hardly any to give.
+/// Guards against an endpoint that stays idle for a quarter of a minute after it has recovered, while the
+/// others reject half of the requests: its failure rate sank only with its own answers, and a high failure
+/// rate kept requests away from it. None of the three endpoints reports a load.
 #[gtest]
-fn verify_an_endpoint_that_is_sound_again_soon_gets_its_part() {
+fn verify_a_recovered_endpoint_soon_gets_its_share_again() {
     let mut gateway = gateway(3);
-    let ask = ask("/once/x");
-    let endpoint = place(&mut gateway, &ask);
+    let request = request("/once/x");
+    let endpoint = place_request(&mut gateway, &request);
     for n in 0..12 {
-        let mut ticket = admit(&mut gateway, &ask);
+        let mut ticket = admit_request(&mut gateway, &request);
         gateway.sent(Time(n * 100), &mut ticket, endpoint);
         gateway.ended(Time(n * 100), &mut ticket, endpoint, Fate::Broken);
     }
@@ -325,8 +331,12 @@
     for n in 0..100 {
         let now = Time(7000 + n * 10);
         gateway.proved(now, now);
-        let mut ticket = gateway.admit(now, &ask).expect("it is admitted");
-        let placed = gateway.place(now, &ticket, &ask).expect("there is one");
+        let mut ticket = gateway
+            .admit(now, &request)
+            .expect("the request is admitted");
+        let placed = gateway
+            .place(now, &ticket, &request)
+            .expect("an endpoint is available");
         gateway.sent(now, &mut ticket, placed.endpoint);
         // The others have long queues.
         let took = if placed.endpoint == endpoint { 60 } else { 290 };
@@ -341,20 +351,23 @@
     expect_that!(chosen, gt(33));
 }
 
-/// Symptom: one endpoint gets three times its part and fails all of it.
-/// Sequence: it fails each request within some milliseconds; the others take their time.
-/// Cause: what failed at once counted as a quick answer.
+/// Guards against an endpoint that fails each request within milliseconds and gets three times its share
+/// of them, because a fast failure counts as a fast answer.
 #[gtest]
-fn verify_an_endpoint_that_fails_at_once_does_not_look_quick() {
+fn verify_fast_failures_do_not_count_as_fast_answers() {
     let mut gateway = gateway(4);
-    let ask = ask("/once/x");
+    let request = request("/once/x");
     let mut chosen = 0;
     let mut bad = None;
     for n in 0..400 {
         let now = Time(10 + n * 20);
         gateway.proved(now, now);
-        let mut ticket = gateway.admit(now, &ask).expect("it is admitted");
-        let placed = gateway.place(now, &ticket, &ask).expect("there is one");
+        let mut ticket = gateway
+            .admit(now, &request)
+            .expect("the request is admitted");
+        let placed = gateway
+            .place(now, &ticket, &request)
+            .expect("an endpoint is available");
         let bad = *bad.get_or_insert(placed.endpoint);
         gateway.sent(now, &mut ticket, placed.endpoint);
         let (took, fate) = if placed.endpoint == bad {
@@ -368,37 +381,36 @@
     expect_that!(chosen, lt(40));
 }
 
-/// Symptom: 22 % of a model's requests reached engines over the multiple while one session got 30 % of
-/// the traffic of 66 routers. Sequence: each router sees the session's engine below its limit, and sends
-/// there before it hears of the others. Cause: a part was spread only once its engine was known to be
-/// full.
+/// Guards against spreading a hot prompt part only once its engine is known to be full. With one session
+/// at 30 % of the traffic of 66 routers, each router saw its engine below the limit and sent requests before
+/// it learned of the others', and 22 % of the requests reached engines over the multiple.
 #[gtest]
 fn verify_a_hot_part_is_spread_before_its_endpoint_is_full() {
     let mut gateway = gateway(60);
     let mut chosen = std::collections::HashSet::new();
     for n in 0..200 {
-        // Each ends at once, so that loads say nothing.
+        // Requests end at once, so that loads don't matter.
         let hot = n % 3 == 0;
-        let ask = chat(if hot { 7 } else { 1000 + n }, n);
-        let endpoint = place(&mut gateway, &ask);
+        let request = chat_request(if hot { 7 } else { 1000 + n }, n);
+        let endpoint = place_request(&mut gateway, &request);
         if hot && n >= 100 {
             chosen.insert(endpoint);
         }
     }
-    // A third of the traffic is 20 times the mean of 60, and one may carry twice the mean of all parts.
+    // A third of the traffic is 20 times the mean of 60 endpoints, each of which may carry twice the mean.
     expect_that!(chosen.len(), all!(ge(10), le(24)));
 }
 
-/// A router of a large fleet sees a session that has just become hot once in some seconds, and knew it by the
-/// loads of its engines alone: up to 4.2 % of a fleet's requests reached engines over the multiple. What others
-/// placed shows it before its first request comes here, and only what they placed since they last told.
+/// A router of a large fleet gets a request of a session that has just become hot only once in some seconds.
+/// When it knew the session only by the loads of its engines, up to 4.2 % of a fleet's requests reached engines
+/// over the multiple. Samples of what other routers placed since their last digest show it earlier.
 #[gtest]
-fn verify_a_part_that_is_hot_elsewhere_is_spread_from_its_first_request() {
+fn verify_a_part_that_is_hot_at_other_routers_is_spread_from_its_first_request() {
     let chosen = |gateway: &mut Gateway, shared| {
-        let ask = chat(shared, 1);
-        let ticket = admit(gateway, &ask);
-        let placed = gateway.place(Time(10), &ticket, &ask);
-        placed.expect("there is one").endpoint
+        let request = chat_request(shared, 1);
+        let ticket = admit_request(gateway, &request);
+        let placed = gateway.place(Time(10), &ticket, &request);
+        placed.expect("an endpoint is available").endpoint
     };
     let hot = |n: u64| if n.is_multiple_of(2) { 7 } else { 1000 + n };
     let mut others = gateway(20);
@@ -417,15 +429,15 @@
     expect_that!(alone.len(), eq(1));
 }
 
-/// Parts that get little more than others by chance stay at one endpoint: spread, they would be read at
-/// several.
+/// Prompt parts that are requested slightly more often by chance stay at one endpoint; if spread, they would
+/// be processed at several.
 #[gtest]
-fn verify_parts_that_return_now_and_then_are_not_spread() {
+fn verify_parts_that_recur_occasionally_are_not_spread() {
     let mut gateway = gateway(60);
     let mut first: std::collections::HashMap<u64, EndpointKey> = Default::default();
     for n in 0..600_u64 {
         let part = n * 7919 % 127;
-        let endpoint = place(&mut gateway, &chat(part, n));
+        let endpoint = place_request(&mut gateway, &chat_request(part, n));
         let held = *first.entry(part).or_insert(endpoint);
         expect_that!(endpoint, eq(held), "part {part}");
     }
--- a/crates/core/tests/gateway/skew.rs
+++ b/crates/core/tests/gateway/skew.rs
@@ -25,9 +25,9 @@
 };
 
 use crate::fixture::{
-    ask,
     gateway,
     prompt, //
+    request,
 };
 
 /// Milliseconds until an engine answers, stating its load, and until the answer is whole.
@@ -81,18 +81,20 @@
     }
 
     /// Places a request; tells whether its engine was over twice the mean and three more.
-    fn send(&mut self, now: u64, ask: &Ask) -> bool {
+    fn send(&mut self, now: u64, request: &Ask) -> bool {
         let who = self.rng.random_range(0..self.size.routers);
         let router = &mut self.routers[who];
         let at = Time(now);
         router.proved(at, at);
-        let mut ticket = router.admit(at, ask).expect("it is admitted");
-        let placed = router.place(at, &ticket, ask).expect("there is one");
+        let mut ticket = router.admit(at, request).expect("the request is admitted");
+        let placed = router
+            .place(at, &ticket, request)
+            .expect("an endpoint is available");
         router.sent(at, &mut ticket, placed.endpoint);
         let engine = router
             .registry()
             .get(placed.endpoint)
-            .expect("it is listed");
+            .expect("the endpoint is listed");
         let name = engine.entry.id.clone();
         let over = f64::from(self.held.get(&name).copied().unwrap_or(0)) > 2.0 * self.mean() + 3.0;
         *self.held.entry(name.clone()).or_default() += 1;
@@ -157,7 +159,7 @@
                 };
                 let asked = Ask {
                     prompt: Some(prompt(shared, now)),
-                    ..ask("/chat/x")
+                    ..request("/chat/x")
                 };
                 let late = self.send(now, &asked);
                 if now >= SPAN {
--- a/crates/core/tests/gateway/staying.rs
+++ b/crates/core/tests/gateway/staying.rs
@@ -16,9 +16,9 @@
 };
 
 use crate::fixture::{
-    ask,
     entry,
     gateway, //
+    request,
 };
 
 /// What the fixture's gateway read last, it read at time 0, and its bound is 2.7 s.
@@ -26,21 +26,21 @@
 const UNPROVED: Time = Time(2700);
 
 fn admitted(gateway: &mut Gateway, now: Time) -> Ticket {
-    let admitted = gateway.admit(now, &ask("/read/x"));
+    let admitted = gateway.admit(now, &request("/read/x"));
     admitted.expect("keys may be acted on for longer")
 }
 
 fn placed(gateway: &mut Gateway, now: Time) -> std::result::Result<(), Cause> {
     let ticket = admitted(gateway, now);
-    let placed = gateway.place(now, &ticket, &ask("/read/x"));
+    let placed = gateway.place(now, &ticket, &request("/read/x"));
     placed.map(|_| ()).map_err(|refusal| refusal.cause)
 }
 
 /// Sends a request at `sent` and has its answer say that its endpoint stays.
 fn answered(gateway: &mut Gateway, sent: Time) {
     let mut ticket = admitted(gateway, sent);
-    let placed = gateway.place(sent, &ticket, &ask("/read/x"));
-    let endpoint = placed.expect("it is proved").endpoint;
+    let placed = gateway.place(sent, &ticket, &request("/read/x"));
+    let endpoint = placed.expect("the endpoint is confirmed").endpoint;
     gateway.sent(sent, &mut ticket, endpoint);
     gateway.confirm(&ticket, endpoint);
 }
@@ -84,8 +84,8 @@
 fn verify_an_answer_that_came_late_is_as_old_as_its_request() {
     let mut gateway = gateway(1);
     let mut ticket = admitted(&mut gateway, Time(1000));
-    let placed_at = gateway.place(Time(1000), &ticket, &ask("/read/x"));
-    let endpoint = placed_at.expect("it is proved").endpoint;
+    let placed_at = gateway.place(Time(1000), &ticket, &request("/read/x"));
+    let endpoint = placed_at.expect("the endpoint is confirmed").endpoint;
     gateway.sent(Time(1000), &mut ticket, endpoint);
     // The process is suspended, and the head is read at 3500.
     gateway.confirm(&ticket, endpoint);
@@ -112,8 +112,8 @@
 fn verify_what_was_chosen_is_looked_at_again_before_it_is_sent() {
     let mut gateway = gateway(1);
     let ticket = admitted(&mut gateway, PROVED);
-    let chosen = gateway.place(PROVED, &ticket, &ask("/read/x"));
-    let endpoint = chosen.expect("it is proved").endpoint;
+    let chosen = gateway.place(PROVED, &ticket, &request("/read/x"));
+    let endpoint = chosen.expect("the endpoint is confirmed").endpoint;
     expect_true!(gateway.may_send(PROVED, endpoint));
     expect_false!(gateway.may_send(UNPROVED, endpoint));
     gateway.proved(Time(2800), Time(2790));
@@ -146,7 +146,14 @@
 #[gtest]
 fn verify_a_digest_that_waited_for_a_suspended_router_proves_nothing() {
     let stays = |gateway: &Gateway, load| Sight {
-        endpoint: gateway.registry().usable().next().expect("one").1.tag().0,
+        endpoint: gateway
+            .registry()
+            .usable()
+            .next()
+            .expect("an endpoint is usable")
+            .1
+            .tag()
+            .0,
         load,
         age: Millis(10),
         confirmed: true,
@@ -183,7 +190,11 @@
     );
     let mut other = gateway(1);
     other.seen(Time(2600), &sights);
-    let (_, endpoint) = other.registry().usable().next().expect("one");
+    let (_, endpoint) = other
+        .registry()
+        .usable()
+        .next()
+        .expect("an endpoint is usable");
     expect_that!(endpoint.age(Time(2600)), none());
 }
 
@@ -192,10 +203,13 @@
 #[gtest]
 fn verify_routes_are_acted_on_for_less_time_once_something_newer_is_known() {
     let mut gateway = gateway(1);
-    expect_that!(gateway.admit(Time(4749), &ask("/read/x")), ok(anything()));
+    expect_that!(
+        gateway.admit(Time(4749), &request("/read/x")),
+        ok(anything())
+    );
     gateway.outdated(Time(1000));
     let refused = |gateway: &mut Gateway, now| {
-        let admitted = gateway.admit(Time(now), &ask("/read/x"));
+        let admitted = gateway.admit(Time(now), &request("/read/x"));
         admitted.map(|_| ()).map_err(|refusal| refusal.cause)
     };
     expect_that!(refused(&mut gateway, 2849), ok(anything()));
@@ -212,10 +226,10 @@
 #[gtest]
 fn verify_a_request_that_waited_keeps_its_deadline() {
     let mut gateway = gateway(1);
-    let mut waited = ask("/read/x");
+    let mut waited = request("/read/x");
     waited.waited = Millis(600);
     let ticket = gateway.admit(Time(1000), &waited);
-    let ticket = ticket.expect("it is admitted");
+    let ticket = ticket.expect("the request is admitted");
     expect_that!(ticket.deadline, eq(Time(3400)));
     expect_that!(ticket.until, eq(Time(3400)));
 }
--- a/crates/core/tests/gateway/warmup.rs
+++ b/crates/core/tests/gateway/warmup.rs
@@ -35,10 +35,10 @@
 };
 
 use crate::fixture::{
-    ask,
     bounds,
     entry,
-    raw, //
+    raw_catalog, //
+    request,
 };
 
 const BOUND: u32 = 26;
@@ -288,12 +288,12 @@
 
 /// Makes a gateway whose service bounds what its cold endpoints get, and that is the only router.
 fn gateway(endpoints: &[Entry]) -> Gateway {
-    let mut raw = raw(1);
+    let mut raw = raw_catalog(1);
     raw.services[0].warmup = Some(Rate {
         time: Millis(3000),
         per_second: Permille(14_000),
     });
-    let catalog = Catalog::try_from(raw).expect("it is valid");
+    let catalog = Catalog::try_from(raw).expect("the configuration is valid");
     let mut gateway = Gateway::new(bounds(), 1);
     let mut changes = vec![Change::Catalog(Box::new(catalog))];
     changes.extend(endpoints.iter().cloned().map(Change::Entry));
@@ -319,9 +319,11 @@
 /// Sends requests until one is refused; counts them, and gets why the last one was.
 fn flood(gateway: &mut Gateway, now: Time) -> (usize, Option<Cause>) {
     for sent in 0..100 {
-        let ask = ask("/chat/x");
-        let mut ticket = gateway.admit(now, &ask).expect("it is admitted");
-        match gateway.place(now, &ticket, &ask) {
+        let request = request("/chat/x");
+        let mut ticket = gateway
+            .admit(now, &request)
+            .expect("the request is admitted");
+        match gateway.place(now, &ticket, &request) {
             Ok(placed) => gateway.sent(now, &mut ticket, placed.endpoint),
             Err(refusal) => return (sent, Some(refusal.cause)),
         }
@@ -344,9 +346,11 @@
     let mut gateway = gateway(&[cold(0, 4700)]);
     alone(&mut gateway, Time(4000));
     flood(&mut gateway, Time(4000));
-    let ask = ask("/chat/x");
-    let ticket = gateway.admit(Time(4000), &ask).expect("it is admitted");
-    let refusal = gateway.place(Time(4000), &ticket, &ask).unwrap_err();
+    let request = request("/chat/x");
+    let ticket = gateway
+        .admit(Time(4000), &request)
+        .expect("the request is admitted");
+    let refusal = gateway.place(Time(4000), &ticket, &request).unwrap_err();
     expect_that!(refusal.after, some(all!(ge(Millis(150)), le(Millis(850)))));
     expect_false!(refusal.may_have_run);
 }
@@ -363,10 +367,12 @@
     let mut gateway = gateway(&[cold(0, 60_000), cold(1, 60_000)]);
     alone(&mut gateway, Time(4000));
     flood(&mut gateway, Time(4000));
-    let ask = ask("/chat/x");
-    let mut ticket = gateway.admit(Time(4000), &ask).expect("it is admitted");
+    let request = request("/chat/x");
+    let mut ticket = gateway
+        .admit(Time(4000), &request)
+        .expect("the request is admitted");
     ticket.priority = 0;
-    expect_true!(gateway.place(Time(4000), &ticket, &ask).is_ok());
+    expect_true!(gateway.place(Time(4000), &ticket, &request).is_ok());
 }
 
 /// Guards against one workspace that takes all that there is while all endpoints are cold.
@@ -378,7 +384,7 @@
     warmup.follow(Time(0), &alone, &[world.cold]);
     warmup.follow(Time(5000), &alone, &[world.cold]);
     let key = world.cold.key;
-    let mut ask = |workspace| {
+    let mut try_request = |workspace| {
         warmup.asked(Time(5000), workspace);
         let admitted = warmup.admits(Time(5000), key)
             && warmup.admits_rank(Time(5000), 1, workspace, [key].into_iter());
@@ -388,10 +394,10 @@
         }
         admitted
     };
-    expect_true!(ask(2));
-    while ask(1) {}
+    expect_true!(try_request(2));
+    while try_request(1) {}
     // The first one's crowd has left room.
-    let others = (0..10).filter(|_| ask(2)).count();
+    let others = (0..10).filter(|_| try_request(2)).count();
     expect_that!(others, gt(5));
     expect_that!(world.all, lt(100));
 }
@@ -400,9 +406,13 @@
 fn verify_an_endpoint_that_turns_cold_after_it_was_chosen_is_left_out() {
     let mut gateway = gateway(&[entry(0)]);
     alone(&mut gateway, Time(4000));
-    let ask = ask("/chat/x");
-    let ticket = gateway.admit(Time(4000), &ask).expect("it is admitted");
-    let placed = gateway.place(Time(4000), &ticket, &ask).expect("one is");
+    let request = request("/chat/x");
+    let ticket = gateway
+        .admit(Time(4000), &request)
+        .expect("the request is admitted");
+    let placed = gateway
+        .place(Time(4000), &ticket, &request)
+        .expect("an endpoint is available");
     expect_true!(gateway.may_send_placed(Time(4000), &ticket, &placed));
     gateway.follow(Time(4001), vec![Change::Entry(cold(0, 3000))]);
     expect_false!(gateway.may_send_placed(Time(4001), &ticket, &placed));
@@ -432,9 +442,13 @@
     };
     let mut gateway = gateway(&[named]);
     alone(&mut gateway, Time(4000));
-    let ask = ask("/chat/x");
-    let mut ticket = gateway.admit(Time(4000), &ask).expect("it is admitted");
-    let placed = gateway.place(Time(4000), &ticket, &ask).expect("one is");
+    let request = request("/chat/x");
+    let mut ticket = gateway
+        .admit(Time(4000), &request)
+        .expect("the request is admitted");
+    let placed = gateway
+        .place(Time(4000), &ticket, &request)
+        .expect("an endpoint is available");
     gateway.unreached(Time(4000), &mut ticket, placed.endpoint);
     alone(&mut gateway, Time(4500));
     expect_that!(flood(&mut gateway, Time(4500)).0, le(26));
