--- a/crates/core/examples/measure_warmup.rs
+++ b/crates/core/examples/measure_warmup.rs
@@ -14,7 +14,7 @@
 use toucanturn_core::{
     arena::EndpointKey,
     gateway::warmup::{
-        Cold,
+        ColdEndpoint,
         Fleet,
         Warmup, //
     },
@@ -63,7 +63,7 @@
 fn play(way: Way, case: Case, routers: u64, per_second: f64, seed: u64) -> (usize, usize, usize) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut keys: SlotMap<EndpointKey, ()> = SlotMap::with_key();
-    let cold = Cold {
+    let cold = ColdEndpoint {
         key: keys.insert(()),
         seed: rng.random(),
         bound: BOUND,
--- a/crates/core/src/gateway/attempt.rs
+++ b/crates/core/src/gateway/attempt.rs
@@ -126,7 +126,7 @@
         let limit = began + route.limit;
         let deadline = ask.deadline.map_or(limit, |left| began + left);
         let until = deadline.min(limit);
-        if self.outlasts(route, until) {
+        if self.outlasts_stop(route, until) {
             return Err(Refusal::later(Cause::Stopping));
         }
         let draw = self.draw();
@@ -180,7 +180,7 @@
         if self.warmup.active() {
             self.warmup.asked(now, ticket.workspace_tag());
         }
-        let scene = place::Scene {
+        let context = place::PlacementContext {
             share: self.share(&ticket.service),
             hot_spots: self.hot_spots.get(&ticket.service),
             registry: &self.registry,
@@ -190,14 +190,14 @@
             now,
             draw,
         };
-        let placed = place::choose(&scene, ticket, ask.prompt.as_ref());
+        let placed = place::choose(&context, ticket, ask.prompt.as_ref());
         let Some(placed) = placed else {
-            if let Some(warm) = place::warm_after(&scene, ticket) {
+            if let Some(warm) = place::time_until_warm(&context, ticket) {
                 let wait = spread_until(now, ticket.deadline, warm, draw);
                 let may_have_run = ticket.may_have_run;
                 return Err(Refusal::until(Cause::WarmingUp, wait, may_have_run));
             }
-            let cause = if place::unconfirmed(&scene, ticket) {
+            let cause = if place::has_unconfirmed(&context, ticket) {
                 Cause::Unconfirmed
             } else {
                 Cause::NoEndpoint
@@ -227,11 +227,11 @@
         let routers = self.routers;
         if self
             .quarantine
-            .try_one(now, content, &verdict, draw, routers)
+            .admit_trial(now, content, &verdict, draw, routers)
         {
             return Ok(());
         }
-        let left = verdict.left.max(quarantine::COME_BACK);
+        let left = verdict.left.max(quarantine::MIN_RETRY_AFTER);
         Err(Refusal::held(left, ticket.may_have_run))
     }
 
@@ -239,7 +239,7 @@
     pub fn identify(&mut self, now: Time, content: &Content<'_>) -> Fingerprint {
         let request = Fingerprint::of(content);
         let hash = fingerprint::quick(self.seed, content);
-        self.quarantine.recall(now, request, hash);
+        self.quarantine.apply_remembered_answer(now, request, hash);
         request
     }
 
--- a/crates/core/src/gateway/catalog.rs
+++ b/crates/core/src/gateway/catalog.rs
@@ -47,7 +47,7 @@
     /// What its engines are, where it is served by engines.
     pub engine: Option<Engine>,
     /// What its endpoints tolerate after their start, where that is bounded.
-    pub warmup: Option<warmup::Rate>,
+    pub warmup: Option<warmup::ColdStart>,
 }
 
 /// `Engine` describes the engines of a service.
--- a/crates/core/src/gateway/endpoint.rs
+++ b/crates/core/src/gateway/endpoint.rs
@@ -12,7 +12,7 @@
         fate::Fate,
         mesh::{
             self,
-            Sight, //
+            EndpointReport, //
         },
     },
     ids::Tag,
@@ -333,12 +333,12 @@
     }
 
     /// Gets its newest stated load, for peers; where it states none, that it is not leaving.
-    pub fn sight(&self, now: Time) -> Option<Sight> {
+    pub fn report(&self, now: Time) -> Option<EndpointReport> {
         let endpoint = self.tag().0;
         if let (Some(age), Some(stated)) = (self.age(now), self.stated) {
-            let recent = |at| at + mesh::ANSWER_MAX >= stated.at;
+            let recent = |at| at + mesh::MAX_CONFIRMED_LATENCY >= stated.at;
             let confirmed = self.confirmed.is_some_and(recent);
-            return Some(Sight {
+            return Some(EndpointReport {
                 endpoint,
                 age,
                 load: Some(stated.load.requests()),
@@ -346,7 +346,7 @@
             });
         }
         let age = now.since(self.confirmed?);
-        (age < LOAD_STALE).then_some(Sight {
+        (age < LOAD_STALE).then_some(EndpointReport {
             endpoint,
             age,
             load: None,
@@ -356,9 +356,9 @@
 
     /// Notes a load that a peer knows, if it is newer than what is known here. Own requests that
     /// were sent since it was stated are not in it.
-    pub fn seen(&mut self, now: Time, sight: Sight) {
-        let at = now - sight.age;
-        let Some(load) = sight.load else {
+    pub fn seen(&mut self, now: Time, report: EndpointReport) {
+        let at = now - report.age;
+        let Some(load) = report.load else {
             return;
         };
         if self.stated.is_some_and(|s| s.at >= at) {
--- a/crates/core/src/gateway/knowledge.rs
+++ b/crates/core/src/gateway/knowledge.rs
@@ -98,7 +98,7 @@
     pub fn proved(&mut self, now: Time, sent: Time) {
         let answered = self.proof.answered();
         if answered.is_some_and(|last| sent.since(last) >= self.bounds.away) {
-            self.registry.back(now);
+            self.registry.registry_recovered(now);
         }
         self.proof.renew(sent);
     }
@@ -124,7 +124,7 @@
                     self.registry.put(now, since, entry, &mut news);
                 }
                 Change::Removed(id) => removed.push(id),
-                Change::Unreadable(id) => self.registry.drop(&id, &mut news),
+                Change::Unreadable(id) => self.registry.discard(&id, &mut news),
                 Change::Evacuated(name) => self.registry.evacuate(now, name, &mut news),
                 Change::Restored(name) => {
                     let cold = cold_time(self.catalog.as_ref());
@@ -171,10 +171,10 @@
 
     /// Picks what a digest tells of endpoints: their newest sights, which make room for records of requests that were in
     /// progress at endpoints that broke off.
-    pub fn observed(&mut self, now: Time, draw: u64) -> (Vec<mesh::Sight>, Vec<Record>) {
+    pub fn observed(&mut self, now: Time, draw: u64) -> (Vec<mesh::EndpointReport>, Vec<Record>) {
         let records = self.quarantine.records(now);
-        let room = mesh::MAX_SIGHTS.saturating_sub(mesh::displaced(&records));
-        (self.registry.sights(now, draw, room), records)
+        let room = mesh::MAX_REPORTS.saturating_sub(mesh::displaced_reports(&records));
+        (self.registry.reports(now, draw, room), records)
     }
 
     /// Notes a peer's records of requests that were in progress at endpoints that broke off.
@@ -187,11 +187,11 @@
     /// Their ages count from the sending, so what waited in a socket while this process was suspended looks
     /// new. An old load does little harm; a confirmation is passed over until all that waited is read, or
     /// the endpoint might have left as long ago as the suspension was long.
-    pub fn seen(&mut self, now: Time, sights: &[mesh::Sight]) {
+    pub fn seen(&mut self, now: Time, reports: &[mesh::EndpointReport]) {
         let runs = now.since(self.ticked) < PAUSE;
         let timely = runs && now.since(self.woke) >= SETTLE;
-        for sight in sights {
-            self.registry.seen(now, *sight, timely);
+        for report in reports {
+            self.registry.seen(now, *report, timely);
         }
     }
 
@@ -250,7 +250,7 @@
     pub fn follow_fleet(&mut self, now: Time, fleet: &warmup::Fleet) {
         let bounded = |(key, endpoint): (EndpointKey, &endpoint::Endpoint)| {
             let bound = self.cold_bound(&endpoint.entry.service)?;
-            Some(warmup::Cold {
+            Some(warmup::ColdEndpoint {
                 key,
                 seed: endpoint.seed,
                 bound,
@@ -259,7 +259,7 @@
         // Few of many endpoints are cold, and this is asked several times a second.
         let cold = self.registry.usable();
         let cold = cold.filter(|(_, e)| e.cold(now) > Millis(0));
-        let cold: Vec<warmup::Cold> = cold.filter_map(bounded).collect();
+        let cold: Vec<warmup::ColdEndpoint> = cold.filter_map(bounded).collect();
         self.warmup.follow(now, fleet, &cold);
     }
 
--- a/crates/core/src/gateway/mesh.rs
+++ b/crates/core/src/gateway/mesh.rs
@@ -1,10 +1,10 @@
-//! Which other routers there are, and what they tell each other.
+//! Gossip between routers: which other routers there are, and what they report to each other.
 //!
-//! Nobody lists the routers. Each knows a few addresses to begin with, which may be down, and sends
-//! a short digest to a few others several times a second, whatever the size of the fleet. A digest
-//! carries the sender's heartbeat, a sample of the heartbeats that it knows and the newest loads
-//! that endpoints stated, so news reach N routers in about log(N) rounds and the bytes a second
-//! don't grow with N.
+//! There is no central list of routers. Each router is configured with a few seed addresses, which
+//! may be down, and sends a short digest to a few other routers several times a second, whatever
+//! the size of the fleet. A digest carries the sender's heartbeat, a sample of the heartbeats that
+//! it knows and the newest loads that endpoints stated. A change reaches N routers in about log(N)
+//! rounds, and the bytes per second do not grow with N.
 
 use std::net::SocketAddrV4;
 
@@ -24,155 +24,165 @@
     },
 };
 
-/// Time between rounds. A load must reach all routers before many requests are placed by the one before it.
-pub const ROUND: Millis = Millis(100);
-/// Routers that a digest goes to in each round.
+/// Interval between gossip rounds. A load must reach all routers before many requests are placed by
+/// the one before it.
+pub const GOSSIP_INTERVAL: Millis = Millis(100);
+/// Routers that receive a digest in each round.
 pub const FANOUT: usize = 2;
-/// Heartbeats in a digest besides the sender's.
-pub const MAX_RUMORS: usize = 7;
-/// Endpoints in a digest, which fills what control may send and hear.
-pub const MAX_SIGHTS: usize = 31;
-/// Those of them that state no load: few services do, and the loads of the others need the room.
-pub const MAX_LOADLESS: usize = 2;
-/// Requests in a digest: about as many as a router of a large fleet places in a round. Without them, a session that
-/// suddenly gets much of the traffic stays on too few endpoints for seconds.
+/// Limit of the heartbeats in a digest besides the sender's.
+pub const MAX_HEARTBEATS: usize = 7;
+/// Limit of the endpoint reports in a digest. With it, the digest fills what the control traffic
+/// may send and receive.
+pub const MAX_REPORTS: usize = 31;
+/// Limit of the reports without a load in a digest: few services state none, and the loads of the
+/// others need the room.
+pub const MAX_REPORTS_WITHOUT_LOAD: usize = 2;
+/// Limit of the request samples in a digest: about as many as a router of a large fleet places in a
+/// round. Without samples, a session that suddenly gets much of the traffic stays on too few
+/// endpoints for seconds.
 pub const MAX_SAMPLES: usize = 2;
-/// Longest time from a request to its answer's head for which the answer's load is told as a confirmation, too. Most
-/// heads come sooner.
-pub const ANSWER_MAX: Millis = Millis(300);
-/// Longest time that a digest is taken to be under way. A link on which bytes wait for longer counts as
-/// broken.
-const TRANSIT_MAX: Millis = Millis(500);
-/// Time without a newer heartbeat after which a router of a small fleet isn't counted: one that is
-/// told of directly is heard several times within it.
-const SILENT: Millis = Millis(3000);
-/// By how much longer for each router of the fleet: digests hold a sample of the heartbeats, so that one of a
-/// large fleet is in them seldom, and at times is missed several times in a row.
-const SILENT_PER_ROUTER: Millis = Millis(40);
-/// Part of that time within which a heartbeat is handed on. Handed on to its end, the last heartbeat of a router that
-/// has stopped goes from one of the others to the next for several times as long.
-const TOLD_PART: u64 = 3;
-/// Time after which a silent router is forgotten.
-const FORGOTTEN: Millis = Millis(30_000);
-/// Most routers that are kept; beyond it the one that was heard least recently goes.
+/// Longest time from a request to the head of its answer for which the answer's load is also
+/// reported as a confirmation. Most heads come sooner.
+pub const MAX_CONFIRMED_LATENCY: Millis = Millis(300);
+/// Assumed upper bound of the transit time of a digest. A link that delays bytes for longer counts
+/// as broken.
+const MAX_TRANSIT_TIME: Millis = Millis(500);
+/// Time without a newer heartbeat after which a router of a small fleet is no longer counted. Peers
+/// that send their digests here directly are heard several times within it.
+const PEER_TIMEOUT: Millis = Millis(3000);
+/// Extension of [`PEER_TIMEOUT`] for each router of the fleet. Digests hold a sample of the
+/// heartbeats, so a router of a large fleet is seldom in them, and is sometimes missed several
+/// times in a row.
+const PEER_TIMEOUT_PER_ROUTER: Millis = Millis(40);
+/// Divisor of the peer timeout that gives the time within which a heartbeat is forwarded. If it
+/// were forwarded until the timeout, the last heartbeat of a stopped router would go from peer to
+/// peer for several times as long.
+const FORWARD_TIMEOUT_DIVISOR: u64 = 3;
+/// Time after its last heartbeat from which a router is forgotten.
+const PEER_RETENTION: Millis = Millis(30_000);
+/// Limit of the routers that are kept; beyond it the one that was heard least recently is evicted.
 const MAX_PEERS: usize = 2048;
-/// Routers of one data centre for each that reads the registry in calm times. It hands on what is new to all of
-/// them, over a link that may be narrow.
+/// One in so many routers of a data centre reads the registry in normal operation. It forwards
+/// changes to all of them, over a link that may be narrow.
 const ROUTERS_PER_READER: usize = 64;
-/// Rounds after which a seed is tried again, as it may have come back with others behind it.
-const SEED_ROUNDS: u64 = 20;
+/// Interval, in rounds, in which a seed is tried again; it may have come back with other routers
+/// behind it.
+const SEED_RETRY_ROUNDS: u64 = 20;
 
-/// `Rumor` is a router's heartbeat.
+/// `Heartbeat` is a sign of life of a router, which its peers forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rumor {
-    /// Where the router hears its peers.
+pub struct Heartbeat {
+    /// Address at which the router receives gossip.
     pub address: SocketAddrV4,
     /// Tag of its data centre.
     pub data_center: u32,
-    /// This life of it; a later one is greater.
+    /// Incarnation of the router; greater after each restart.
     pub incarnation: Incarnation,
-    /// Number of its round.
+    /// Number of its newest round.
     pub beat: u64,
     /// Whether it reads the registry and what it holds is fresh.
     pub reads: bool,
 }
 
-/// `Sight` is what an endpoint's answer said.
+/// `EndpointReport` is the state of an endpoint according to one of its answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sight {
-    /// Tag of the endpoint's name.
+pub struct EndpointReport {
+    /// Tag of the endpoint's incarnation.
     pub endpoint: u32,
-    /// Requests there, running and waiting; `None` where it states none.
+    /// Requests there, running and waiting; `None` where the endpoint states no load.
     pub load: Option<u32>,
-    /// How old it is.
+    /// Time since the answer.
     pub age: Millis,
-    /// Whether it was not leaving by its answer to a request that the sender sent no more than
-    /// [`ANSWER_MAX`] before.
+    /// Whether the endpoint was not leaving, according to its answer to a request that the sender
+    /// sent no more than [`MAX_CONFIRMED_LATENCY`] before.
     pub confirmed: bool,
 }
 
-/// Counts the sights that a digest has fewer of with these records, so that it takes about as many bytes.
-pub fn displaced(records: &[Record]) -> usize {
+/// Returns by how many reports a digest must be shortened so that these crash records leave its
+/// size about the same.
+pub fn displaced_reports(records: &[Record]) -> usize {
     let crashes: usize = records.iter().map(|r| r.crashes.len()).sum();
     2 * records.len() + crashes
 }
 
-impl Sight {
-    /// Gets the greatest age that its confirmation may have on arrival; `None` without one. Clocks of
-    /// routers aren't compared, so the longest time under way counts.
-    pub fn confirmation(&self) -> Option<Millis> {
-        let age = self.age + ANSWER_MAX + TRANSIT_MAX;
+impl EndpointReport {
+    /// Returns the greatest age that the confirmation may have on arrival; `None` without a
+    /// confirmation. Clocks of routers are not compared, so the longest transit time is assumed.
+    pub fn confirmation_age(&self) -> Option<Millis> {
+        let age = self.age + MAX_CONFIRMED_LATENCY + MAX_TRANSIT_TIME;
         self.confirmed.then_some(age)
     }
 }
 
-/// `Sample` is a request that a router placed. Told to a few others, it lets each see several times the traffic
-/// that reaches it, and as unbiased.
+/// `Sample` is a request that a router placed. Sent to a few others, samples show each router
+/// several times the traffic that reaches it, without bias.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sample {
     /// Index of its service in the published configuration.
     pub service: u32,
-    /// Tag of the shared part that decides its placement.
+    /// Tag of the shared prompt part that decides its placement.
     pub part: u32,
-    /// Its work.
+    /// Amount of work of the request.
     pub work: u32,
 }
 
-/// `Digest` is one message between routers.
+/// `Digest` is one gossip message between routers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Digest {
     /// The sender's heartbeat.
-    pub from: Rumor,
-    /// Heartbeats of others.
-    pub rumors: Vec<Rumor>,
-    /// What is known of endpoints.
-    pub sights: Vec<Sight>,
+    pub from: Heartbeat,
+    /// Heartbeats of other routers.
+    pub heartbeats: Vec<Heartbeat>,
+    /// States of endpoints.
+    pub reports: Vec<EndpointReport>,
     /// Requests that the sender placed since its last round.
     pub samples: Vec<Sample>,
-    /// Requests that were in progress at endpoints that broke off.
+    /// Requests that were in progress at endpoints that broke the connection.
     pub crashes: Vec<Record>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Peer {
-    rumor: Rumor,
-    /// When its heartbeat last went up.
-    heard: Time,
-    /// Until when it is not asked for the registry, as it failed.
-    avoided: Time,
+    heartbeat: Heartbeat,
+    /// When its heartbeat last increased.
+    last_heard: Time,
+    /// End of the time in which it is not asked for the registry's state, because it failed to
+    /// answer.
+    avoided_until: Time,
 }
 
-/// `Mesh` is what a router knows of the others.
+/// `Mesh` is what a router knows of the other routers.
 #[derive(Debug)]
 pub struct Mesh {
-    me: Rumor,
+    me: Heartbeat,
     seeds: Vec<SocketAddrV4>,
     peers: IndexMap<SocketAddrV4, Peer>,
-    next: usize,
+    next_forwarded: usize,
 }
 
 impl Mesh {
-    /// Makes a mesh of this router alone.
-    pub fn new(me: Rumor, seeds: Vec<SocketAddrV4>) -> Self {
+    /// Makes a mesh that knows no other router.
+    pub fn new(me: Heartbeat, seeds: Vec<SocketAddrV4>) -> Self {
         let seeds = seeds.into_iter().filter(|s| *s != me.address).collect();
         Self {
             me,
             seeds,
             peers: IndexMap::new(),
-            next: 0,
+            next_forwarded: 0,
         }
     }
 
-    /// Takes new addresses to begin with.
+    /// Replaces the seed addresses.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>) {
         let me = self.me.address;
         self.seeds = seeds.into_iter().filter(|s| *s != me).collect();
     }
 
-    /// Begins a round; gets where its digest goes.
+    /// Begins a gossip round; returns the addresses that its digest goes to.
     pub fn round(&mut self, now: Time, draw: u64) -> Vec<SocketAddrV4> {
         self.me.beat += 1;
-        self.peers.retain(|_, p| now.since(p.heard) < FORGOTTEN);
+        self.peers
+            .retain(|_, p| now.since(p.last_heard) < PEER_RETENTION);
         let live: Vec<SocketAddrV4> = self.live(now).map(|r| r.address).collect();
         let mut targets = Vec::with_capacity(FANOUT + 1);
         for turn in 0..FANOUT.min(live.len()) as u64 {
@@ -182,155 +192,175 @@
                 targets.push(target);
             }
         }
-        let lonely = live.len() < FANOUT;
-        if (lonely || self.me.beat.is_multiple_of(SEED_ROUNDS)) && !self.seeds.is_empty() {
+        let few_peers = live.len() < FANOUT;
+        if (few_peers || self.me.beat.is_multiple_of(SEED_RETRY_ROUNDS)) && !self.seeds.is_empty() {
             let pick = score(draw, u64::MAX) % self.seeds.len() as u64;
             targets.push(self.seeds[usize::try_from(pick).unwrap_or_default()]);
         }
         targets
     }
 
-    /// Makes this round's digest to `target`, without requests.
+    /// Makes this round's digest for `target`, without samples and crash records.
     pub fn digest(
         &mut self,
         now: Time,
         target: SocketAddrV4,
         reads: bool,
-        sights: Vec<Sight>,
+        reports: Vec<EndpointReport>,
     ) -> Digest {
         self.me.reads = reads;
         let known = self.peers.len();
-        let told = Millis(self.silent().0 / TOLD_PART);
-        let mut rumors = Vec::with_capacity(MAX_RUMORS.min(known));
-        rumors.extend(self.first_near(now, target, told));
+        let forward_timeout = Millis(self.peer_timeout().0 / FORWARD_TIMEOUT_DIVISOR);
+        let mut heartbeats = Vec::with_capacity(MAX_HEARTBEATS.min(known));
+        heartbeats.extend(self.first_reader(now, target, forward_timeout));
         for _ in 0..known {
-            if rumors.len() == MAX_RUMORS {
+            if heartbeats.len() == MAX_HEARTBEATS {
                 break;
             }
-            self.next = (self.next + 1) % known;
-            let Some((_, peer)) = self.peers.get_index(self.next) else {
+            self.next_forwarded = (self.next_forwarded + 1) % known;
+            let Some((_, peer)) = self.peers.get_index(self.next_forwarded) else {
                 break;
             };
-            if now.since(peer.heard) < told && !rumors.contains(&peer.rumor) {
-                rumors.push(peer.rumor);
+            if now.since(peer.last_heard) < forward_timeout && !heartbeats.contains(&peer.heartbeat)
+            {
+                heartbeats.push(peer.heartbeat);
             }
         }
         Digest {
             from: self.me,
-            rumors,
-            sights,
+            heartbeats,
+            reports,
             samples: Vec::new(),
             crashes: Vec::new(),
         }
     }
 
-    /// Gets the heartbeat of the router that comes first as a reader in the data centre of `target`.
+    /// Returns the heartbeat of the first-ranked reader in the data centre of `target`.
     ///
-    /// It goes to all of that data centre within a few rounds, as each tells the best that it knows. Without
-    /// it, a router learns who reads for it only when it has heard of nearly all others, and until then reads
-    /// the registry itself.
-    fn first_near(&self, now: Time, target: SocketAddrV4, told: Millis) -> Option<Rumor> {
-        let near = self.peers.get(&target)?.rumor.data_center;
-        let others = self.peers.values().filter(|p| now.since(p.heard) < told);
-        let others = others.map(|p| &p.rumor).chain([&self.me]);
-        let others = others.filter(|r| r.data_center == near && r.address != target);
-        let first = others.min_by_key(|r| score(u64::from(near), tag(r.address)));
+    /// It reaches all routers of that data centre within a few rounds, because each forwards the
+    /// best that it knows. Without it, a router would learn who reads for it only after it has
+    /// heard of nearly all others, and would read the registry itself until then.
+    fn first_reader(
+        &self,
+        now: Time,
+        target: SocketAddrV4,
+        forward_timeout: Millis,
+    ) -> Option<Heartbeat> {
+        let data_center = self.peers.get(&target)?.heartbeat.data_center;
+        let others = self
+            .peers
+            .values()
+            .filter(|p| now.since(p.last_heard) < forward_timeout);
+        let others = others.map(|p| &p.heartbeat).chain([&self.me]);
+        let others = others.filter(|r| r.data_center == data_center && r.address != target);
+        let first = others.min_by_key(|r| score(u64::from(data_center), address_hash(r.address)));
         first.filter(|r| r.address != self.me.address).copied()
     }
 
-    /// Takes a digest in; returns whether it is news of its sender. What is none may be replayed,
-    /// and nothing in it counts.
-    pub fn hear(&mut self, now: Time, digest: &Digest) -> bool {
-        if digest.from.address == self.me.address || !self.note(now, digest.from) {
+    /// Takes a digest in; returns whether its sender's heartbeat is new. A digest whose heartbeat
+    /// is not new may be a replay, and is ignored.
+    pub fn receive(&mut self, now: Time, digest: &Digest) -> bool {
+        if digest.from.address == self.me.address || !self.record_heartbeat(now, digest.from) {
             return false;
         }
-        for rumor in &digest.rumors {
-            if rumor.address != self.me.address {
-                self.note(now, *rumor);
+        for heartbeat in &digest.heartbeats {
+            if heartbeat.address != self.me.address {
+                self.record_heartbeat(now, *heartbeat);
             }
         }
         true
     }
 
-    /// Lists the routers that are heard of, this one left out.
-    pub fn live(&self, now: Time) -> impl Iterator<Item = &Rumor> {
-        let silent = self.silent();
-        let heard = move |p: &&Peer| now.since(p.heard) < silent;
-        self.peers.values().filter(heard).map(|p| &p.rumor)
+    /// Lists the other routers that are alive.
+    pub fn live(&self, now: Time) -> impl Iterator<Item = &Heartbeat> {
+        let peer_timeout = self.peer_timeout();
+        let alive = move |p: &&Peer| now.since(p.last_heard) < peer_timeout;
+        self.peers.values().filter(alive).map(|p| &p.heartbeat)
     }
 
-    fn silent(&self) -> Millis {
+    fn peer_timeout(&self) -> Millis {
         let routers = u64::try_from(self.peers.len()).unwrap_or(u64::MAX);
-        SILENT + Millis(SILENT_PER_ROUTER.0.saturating_mul(routers))
+        PEER_TIMEOUT + Millis(PEER_TIMEOUT_PER_ROUTER.0.saturating_mul(routers))
     }
 
-    /// Counts the routers, this one among them.
+    /// Counts the routers that are alive, including this one.
     pub fn size(&self, now: Time) -> u32 {
         u32::try_from(self.live(now).count() + 1).unwrap_or(u32::MAX)
     }
 
-    /// Gets the routers that are heard of, for what is divided among them.
+    /// Returns the routers that are alive, for what is divided among them.
     pub fn fleet(&self, now: Time) -> Fleet {
         Fleet {
-            me: tag(self.me.address),
-            others: self.live(now).map(|r| tag(r.address)).collect(),
+            me: address_hash(self.me.address),
+            others: self.live(now).map(|r| address_hash(r.address)).collect(),
             expected: !self.seeds.is_empty(),
         }
     }
 
-    /// Tells whether this router is one of those that read the registry for its data centre in calm times: the
-    /// first ones by rendezvous hashing, which all agree on that know the same routers. If they don't, one reads
-    /// too many, or a router follows one that follows another.
+    /// Tells whether this router is one of those that read the registry for its data centre in
+    /// normal operation: the first ones by rendezvous hashing. All routers that know the same fleet
+    /// agree on them. If they disagree, there is one reader too many, or a router follows one that
+    /// is itself a follower.
     pub fn reads(&self, now: Time) -> bool {
         let (rank, readers) = self.rank(now);
         rank < readers
     }
 
-    /// Counts the routers of this data centre that come before this one as readers, and those that read in calm
-    /// times.
+    /// Returns the number of routers of this data centre that come before this one as readers, and
+    /// the number of those that read in normal operation.
     pub fn rank(&self, now: Time) -> (usize, usize) {
-        let near = self.near(now);
-        let before = near.iter().position(|r| r.address == self.me.address);
-        (before.unwrap_or_default(), readers(&near).len())
+        let reader_candidates = self.reader_candidates(now);
+        let before = reader_candidates
+            .iter()
+            .position(|r| r.address == self.me.address);
+        (
+            before.unwrap_or_default(),
+            readers(&reader_candidates).len(),
+        )
     }
 
-    /// Gets the router to ask for the registry's state; `None` where this one is to read itself.
+    /// Returns the router to ask for the registry's state; `None` where this one must read it
+    /// itself.
     ///
-    /// It is asked whether it reads or not: one that has just come, or can't reach the registry, hands on what it
-    /// has from another. Asked by what others told of its reading, routers that started together read themselves
-    /// for seconds, as such word is old.
+    /// The first-ranked readers are asked whether they read at the moment or not: one that has just
+    /// started, or cannot reach the registry, forwards what it has from another. If routers asked
+    /// only those that announce reading, routers that start together would all read for seconds,
+    /// because these announcements are old.
     pub fn upstream(&self, now: Time) -> Option<SocketAddrV4> {
-        let near = self.near(now);
-        let readers = readers(&near);
+        let reader_candidates = self.reader_candidates(now);
+        let readers = readers(&reader_candidates);
         if readers.iter().any(|r| r.address == self.me.address) {
             return None;
         }
-        // Each has its own order, which divides them and stays as it is, so that connections are kept.
-        let me = tag(self.me.address);
-        let first = readers.iter().max_by_key(|r| score(me, tag(r.address)));
+        // Each router ranks the readers in its own stable order, which divides the followers among
+        // the readers and keeps their connections.
+        let me = address_hash(self.me.address);
+        let first = readers
+            .iter()
+            .max_by_key(|r| score(me, address_hash(r.address)));
         first.map(|r| r.address)
     }
 
-    /// Gets a router to ask that may know more than the one that should read: by turns one anywhere that says that
-    /// it reads the registry, and one of those of this data centre that read when that one can't; else any.
+    /// Returns a router that may know more than the assigned reader: in turn one of those anywhere
+    /// that announce that they read the registry, and one of this data centre's standbys; else any.
     ///
-    /// Who doesn't know the newest configuration can't open digests that are sealed by it, and hears no more of who
-    /// reads, or of anybody: then one of the addresses to begin with is asked.
-    pub fn distant(&self, now: Time, draw: u64) -> Option<SocketAddrV4> {
-        let open = || self.live(now).filter(|r| !self.avoids(now, r));
-        let addresses = |routers: Vec<&Rumor>| routers.iter().map(|r| r.address).collect();
-        let near = self.near(now).into_iter().take(ALL_STANDBYS);
-        let near: Vec<&Rumor> = near.filter(|r| r.address != self.me.address).collect();
-        let mut found: Vec<SocketAddrV4> = addresses(open().filter(|r| r.reads).collect());
+    /// A router without the newest configuration cannot open digests that are sealed with it, so it
+    /// hears no more of readers or of anybody; then it asks a seed.
+    pub fn fallback_upstream(&self, now: Time, draw: u64) -> Option<SocketAddrV4> {
+        let usable = || self.live(now).filter(|r| !self.is_avoided(now, r));
+        let addresses = |routers: Vec<&Heartbeat>| routers.iter().map(|r| r.address).collect();
+        let standbys = self.reader_candidates(now).into_iter().take(ALL_STANDBYS);
+        let standbys: Vec<&Heartbeat> = standbys.filter(|r| r.address != self.me.address).collect();
+        let mut found: Vec<SocketAddrV4> = addresses(usable().filter(|r| r.reads).collect());
         if found.is_empty() || !draw.is_multiple_of(2) {
-            found = if near.is_empty() {
+            found = if standbys.is_empty() {
                 found
             } else {
-                addresses(near)
+                addresses(standbys)
             };
         }
         if found.is_empty() {
-            found = addresses(open().collect());
+            found = addresses(usable().collect());
         }
         if found.is_empty() {
             found.clone_from(&self.seeds);
@@ -339,74 +369,79 @@
         found.get(usize::try_from(pick).ok()?).copied()
     }
 
-    /// Notes that a router did not answer, or with what is too old. Until then another one of the
-    /// data centre reads: all that asked the same one find out within a second.
+    /// Excludes a router as a reader for `pause`, because it did not answer or its answer was too
+    /// old. Meanwhile another router of the data centre reads: all that asked the same one find out
+    /// within a second.
     pub fn avoid(&mut self, now: Time, address: SocketAddrV4, pause: Millis) {
         if let Some(peer) = self.peers.get_mut(&address) {
-            peer.avoided = now + pause;
+            peer.avoided_until = now + pause;
         }
     }
 
-    /// Lists the routers of this data centre that are heard of and not avoided, this one among them, in
-    /// the order in which they read.
-    fn near(&self, now: Time) -> Vec<&Rumor> {
-        let near = self.me.data_center;
+    /// Lists the routers of this data centre that are alive and not avoided, including this one, in
+    /// their order as readers.
+    fn reader_candidates(&self, now: Time) -> Vec<&Heartbeat> {
+        let data_center = self.me.data_center;
         let local = self.live(now).chain([&self.me]);
-        let local = local.filter(|r| r.data_center == near && !self.avoids(now, r));
-        let mut local: Vec<&Rumor> = local.collect();
-        local.sort_by_key(|r| score(u64::from(near), tag(r.address)));
+        let local = local.filter(|r| r.data_center == data_center && !self.is_avoided(now, r));
+        let mut local: Vec<&Heartbeat> = local.collect();
+        local.sort_by_key(|r| score(u64::from(data_center), address_hash(r.address)));
         local
     }
 
-    fn avoids(&self, now: Time, rumor: &Rumor) -> bool {
-        let peer = self.peers.get(&rumor.address);
-        peer.is_some_and(|p| now < p.avoided)
+    fn is_avoided(&self, now: Time, heartbeat: &Heartbeat) -> bool {
+        let peer = self.peers.get(&heartbeat.address);
+        peer.is_some_and(|p| now < p.avoided_until)
     }
 
-    fn note(&mut self, now: Time, rumor: Rumor) -> bool {
+    fn record_heartbeat(&mut self, now: Time, heartbeat: Heartbeat) -> bool {
         let fresh = Peer {
-            rumor,
-            heard: now,
-            avoided: Time(0),
+            heartbeat,
+            last_heard: now,
+            avoided_until: Time(0),
         };
-        match self.peers.get_mut(&rumor.address) {
+        match self.peers.get_mut(&heartbeat.address) {
             Some(peer) => {
-                let held = (peer.rumor.incarnation, peer.rumor.beat);
-                let newer = (rumor.incarnation, rumor.beat) > held;
-                if newer && peer.rumor.incarnation != rumor.incarnation {
+                let held = (peer.heartbeat.incarnation, peer.heartbeat.beat);
+                let newer = (heartbeat.incarnation, heartbeat.beat) > held;
+                if newer && peer.heartbeat.incarnation != heartbeat.incarnation {
                     *peer = fresh;
                 } else if newer {
-                    peer.rumor = rumor;
-                    peer.heard = now;
+                    peer.heartbeat = heartbeat;
+                    peer.last_heard = now;
                 }
                 newer
             }
             None => {
                 if self.peers.len() >= MAX_PEERS {
-                    self.forget_oldest();
+                    self.evict_oldest();
                 }
-                self.peers.insert(rumor.address, fresh);
+                self.peers.insert(heartbeat.address, fresh);
                 true
             }
         }
     }
 
-    fn forget_oldest(&mut self) {
-        let oldest = self.peers.values().enumerate().min_by_key(|(_, p)| p.heard);
+    fn evict_oldest(&mut self) {
+        let oldest = self
+            .peers
+            .values()
+            .enumerate()
+            .min_by_key(|(_, p)| p.last_heard);
         if let Some(at) = oldest.map(|(at, _)| at) {
             self.peers.swap_remove_index(at);
         }
     }
 }
 
-/// Gets those of a data centre's routers, in their order, that read the registry.
-fn readers<'a, 'b>(near: &'a [&'b Rumor]) -> &'a [&'b Rumor] {
-    let count = near.len().div_ceil(ROUTERS_PER_READER);
-    &near[..count]
+/// Returns the routers of a data centre that read the registry, from all of them in their order.
+fn readers<'a, 'b>(reader_candidates: &'a [&'b Heartbeat]) -> &'a [&'b Heartbeat] {
+    let count = reader_candidates.len().div_ceil(ROUTERS_PER_READER);
+    &reader_candidates[..count]
 }
 
-/// Spreads addresses over all numbers, as rendezvous wants them.
-fn tag(address: SocketAddrV4) -> u64 {
+/// Hashes an address evenly over all numbers, as rendezvous hashing requires.
+fn address_hash(address: SocketAddrV4) -> u64 {
     let port = address.port().to_le_bytes();
     let ip = address.ip().octets();
     xxhash_rust::xxh3::xxh3_64(&[ip.as_slice(), &port].concat())
--- a/crates/core/src/gateway/mirror.rs
+++ b/crates/core/src/gateway/mirror.rs
@@ -95,7 +95,7 @@
     }
 
     /// Takes a peer's delta in, as [`Mirror::apply`] does. The peer may not know what came and went.
-    pub fn copy(&mut self, delta: Delta) -> Vec<Record> {
+    pub fn apply_from_peer(&mut self, delta: Delta) -> Vec<Record> {
         if delta.revision < self.revision {
             return Vec::new();
         }
--- a/crates/core/src/gateway/mod.rs
+++ b/crates/core/src/gateway/mod.rs
@@ -58,11 +58,11 @@
 use catalog::Catalog;
 use hot_spots::HotSpots;
 use mesh::Sample;
-use proof::Proof;
+use proof::FreshnessProof;
 use quarantine::Quarantine;
 use registry::Registry;
 use settings::Bounds;
-use stop::End;
+use stop::StopDeadline;
 use warmup::Warmup;
 
 /// Shortest wait that a refused caller is told: the time in which news go round a small fleet.
@@ -74,7 +74,7 @@
     bounds: Bounds,
     catalog: Option<Arc<Catalog>>,
     registry: Registry,
-    proof: Proof,
+    proof: FreshnessProof,
     /// When the last tick was.
     ticked: Time,
     /// When the first tick after a suspension was.
@@ -87,7 +87,7 @@
     warmup: Warmup,
     /// Seed of the quick hashes of contents.
     seed: u64,
-    end: Option<End>,
+    end: Option<StopDeadline>,
     routers: u32,
     /// Most routers that were heard of lately, this one among them, and when.
     most: (u32, Time),
@@ -104,7 +104,7 @@
             bounds,
             catalog: None,
             registry: Registry::default(),
-            proof: Proof::default(),
+            proof: FreshnessProof::default(),
             ticked: Time(0),
             woke: Time(0),
             budgets: IndexMap::new(),
@@ -132,7 +132,7 @@
     }
 
     /// Gets the age of what is known.
-    pub fn proof(&self) -> &Proof {
+    pub fn proof(&self) -> &FreshnessProof {
         &self.proof
     }
 
--- a/crates/core/src/gateway/proof.rs
+++ b/crates/core/src/gateway/proof.rs
@@ -14,18 +14,18 @@
     },
 };
 
-/// `Proof` is the sending time of the newest read that was answered with the newest state.
+/// `FreshnessProof` is the sending time of the newest read that was answered with the newest state.
 ///
 /// The time of sending counts, not that of the answer: a change that was acknowledged while the
 /// answer was on its way is not in it. Times are of a clock that counts suspension.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Proof {
+pub struct FreshnessProof {
     read: Option<Time>,
     /// When the registry was last known to hold something newer.
     newer: Option<Time>,
 }
 
-impl Proof {
+impl FreshnessProof {
     /// Notes a read.
     pub fn renew(&mut self, sent: Time) {
         self.read = self.read.max(Some(sent));
--- a/crates/core/src/gateway/quarantine.rs
+++ b/crates/core/src/gateway/quarantine.rs
@@ -1,17 +1,19 @@
-//! Requests that crash the endpoints that run them are held back.
+//! Quarantine of requests that crash the endpoints that run them.
 //!
-//! No limit of attempts or of retries stops such a request: its caller repeats it under a new id, at any
-//! router, and each repeat is a first attempt. What stops it is its content's record: at which endpoints it was
-//! in progress when their connections broke, and whether they have ended since.
+//! Limits on attempts and retries do not stop such a request: its caller repeats it under a new id,
+//! at any router, and each repeat is a first attempt. The quarantine therefore keeps a crash record
+//! for each request content: the endpoints whose connections broke while the request was in
+//! progress there, and whether those endpoints have ended since.
 //!
-//! Whatever is in progress at an endpoint that ends is a suspect, so one crash says little. A request is held back
-//! after [`CRASHES`] of them, at different endpoints and moments, with no whole answer in between; one that was
-//! answered before after [`CRASHES_ANSWERED`]. Routers tell each other of each crash, as a request may come to another
-//! one each time.
+//! Every request in progress at an endpoint that ends is a suspect, so one crash says little. A
+//! request is quarantined after [`QUARANTINE_THRESHOLD`] crashes at different endpoints and times
+//! without a complete answer in between, and after [`QUARANTINE_THRESHOLD_ANSWERED`] if it was
+//! answered completely before. Routers exchange crash records, because each repeat of a request may
+//! arrive at another router.
 //!
-//! A request that was in progress at each crash by chance, while no endpoint was left to answer it, looks the same. So
-//! after a while one is let through, as a trial: a whole answer ends the suspicion at all routers, another crash
-//! holds it back for longer.
+//! A request that was in progress at each crash by coincidence, and that no remaining endpoint
+//! could answer, looks the same. Once the hold time is over, one request is therefore admitted as a
+//! trial: a complete answer clears the request at all routers, another crash extends the hold.
 
 use std::collections::VecDeque;
 
@@ -29,124 +31,139 @@
     },
 };
 
-/// Crashes after which a request is held back.
-pub const CRASHES: usize = 3;
-/// The same for one that was answered whole before: what endpoints have run once seldom ends them later.
-pub const CRASHES_ANSWERED: usize = 6;
-/// Newest crashes of a request that are kept.
-pub const MAX_CRASHES: usize = 6;
-/// Length of a moment, of whose crashes few count: endpoints that are lost together take all that they run with them,
-/// and what is asked for often runs on several of them.
-const TOGETHER: Millis = Millis(250);
-/// Most by which a crash that others tell of seems to be later than it was.
-const TOLD_LATE: Millis = Millis(250);
-/// Time after which an endpoint counts as ended from which nothing was heard since a connection broke. A connection
-/// may break for other reasons, and an endpoint that goes on answers others by then.
-const SETTLED: Millis = Millis(500);
-/// Times as long as before that a request is held back after a trial that crashed an endpoint.
-const LONGER: u64 = 12;
-/// Requests for each router of the fleet of which one is let through once the time is over. Routers don't agree on which
-/// one; with fewer, several would let one through at the same time.
-const TRIAL_PART: u64 = 2;
-/// Time after which another one may be let through by the same router.
-const TRIAL: Millis = Millis(3000);
-/// Shortest time that the caller of what is held back is told to wait.
-pub const COME_BACK: Millis = Millis(1000);
-/// Requests of which crashes are kept, at most.
+/// Crashes after which a request is quarantined.
+pub const QUARANTINE_THRESHOLD: usize = 3;
+/// Crashes after which a request that was answered completely before is quarantined: content that
+/// endpoints have run once seldom crashes them later.
+pub const QUARANTINE_THRESHOLD_ANSWERED: usize = 6;
+/// Limit of the crashes kept for a request; the newest are kept.
+pub const MAX_CRASHES_PER_REQUEST: usize = 6;
+/// Window in which crashes belong to one group, of which at most two count: endpoints that are lost
+/// together take all their requests with them, and popular content often runs on several of them.
+const CRASH_GROUP_WINDOW: Millis = Millis(250);
+/// Upper bound of the delay by which a crash reported by a peer appears later than it was.
+const MAX_REPORT_DELAY: Millis = Millis(250);
+/// Time after a broken connection from which an endpoint that nothing was heard of counts as ended.
+/// A connection may break for other reasons; an endpoint that goes on has answered other requests
+/// by then.
+const PRESUMED_ENDED_AFTER: Millis = Millis(500);
+/// Factor by which the hold time grows after each trial that crashed an endpoint.
+const HOLD_FACTOR: u64 = 12;
+/// Once the hold time is over, a request is admitted as a trial with a probability of one in this
+/// number times the number of routers. Routers do not coordinate trials; with a smaller number several
+/// would admit one at the same time.
+const TRIAL_ODDS_PER_ROUTER: u64 = 2;
+/// Time after a trial in which the same router admits no other trial of the same request.
+const TRIAL_INTERVAL: Millis = Millis(3000);
+/// Minimum wait that the caller of a quarantined request is told.
+pub const MIN_RETRY_AFTER: Millis = Millis(1000);
+/// Limit of the requests for which crashes are kept.
 pub const MAX_SUSPECTS: usize = 512;
-/// Those of one workspace: without a bound, one that crashes endpoints by many requests would have others' crashes
-/// forgotten.
-pub const MAX_OF_WORKSPACE: usize = 128;
-/// Newest whole answers that are remembered.
-const MAX_ANSWERS: usize = 2048;
-/// Time for which a request's record is kept after its last news, besides that for which it is held back.
-const KEPT: Millis = Millis(600_000);
-/// Time for which peers are told of what is new: a few times what news take to reach all routers.
-const TOLD: Millis = Millis(3000);
-/// Time between two digests that tell of what is held back, for routers that start later or were cut off.
-const REMINDER: Millis = Millis(500);
-/// Tiers of records: what is held back or was answered again and again, what has several crashes, the rest.
+/// Limit of these requests for one workspace. Without it, a workspace that crashes endpoints with
+/// many different requests would evict the crash records of other workspaces.
+pub const MAX_SUSPECTS_PER_WORKSPACE: usize = 128;
+/// Limit of the remembered complete answers; the newest are kept.
+const MAX_REMEMBERED_ANSWERS: usize = 2048;
+/// Time for which a request's record is kept after its last change, in addition to its hold time.
+const RECORD_RETENTION: Millis = Millis(600_000);
+/// Time for which a change is announced to peers: a few times the time in which gossip reaches all
+/// routers.
+const ANNOUNCEMENT_PERIOD: Millis = Millis(3000);
+/// Interval between digests that announce quarantined requests again, for routers that started
+/// later or were cut off.
+const REANNOUNCEMENT_INTERVAL: Millis = Millis(500);
+/// Number of priority tiers of records: 0 for requests that are quarantined or were answered
+/// repeatedly, 1 for those with several crashes, 2 for the rest.
 const TIERS: usize = 3;
-/// Whole answers from which on a request counts as one that comes again.
-const POPULAR: u32 = 2;
-/// Their order in digests, by turns: what is likely to be held back soon must not wait for the rest, which must come, too.
-const ORDERS: [[usize; TIERS]; 4] = [[0, 1, 2], [1, 0, 2], [0, 1, 2], [2, 1, 0]];
-/// Records in a digest, at most.
-pub const MAX_RECORDS: usize = 5;
-/// Crashes in a digest, at most.
-pub const MAX_TOLD: usize = 6;
-
-/// `Policy` says for how long requests are held back.
+/// Complete answers from which on a request counts as answered repeatedly.
+const REPEATED_ANSWERS: u32 = 2;
+/// Orders in which successive digests take the tiers: requests that are likely to be quarantined
+/// soon must not wait for the rest, but the rest must be sent, too.
+const TIER_ORDERS: [[usize; TIERS]; 4] = [[0, 1, 2], [1, 0, 2], [0, 1, 2], [2, 1, 0]];
+/// Limit of the records in a digest.
+pub const MAX_DIGEST_RECORDS: usize = 5;
+/// Limit of the crashes in a digest.
+pub const MAX_DIGEST_CRASHES: usize = 6;
+
+/// `Policy` says for how long requests are quarantined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// Time before the first trial; zero where nothing is held back.
+    /// Hold time before the first trial; zero turns the quarantine off.
     pub first: Millis,
 }
 
 impl Policy {
-    /// Gets the time for which a request is held back after these crashes, of which it takes `needed`.
+    /// Returns the hold time of a request with these crashes, of which `threshold` quarantine it.
     ///
-    /// Those that came soon after the ones before were in progress already, or come from routers that didn't know yet;
-    /// what comes after the first time was a trial.
-    fn hold(self, crashes: &[Crash], needed: usize) -> Millis {
-        let since = crashes.get(needed.saturating_sub(1)..).unwrap_or_default();
+    /// Crashes that follow the one before within the first hold time do not extend it: their
+    /// requests were in progress already, or come from routers that did not know yet. A later crash
+    /// was caused by a trial.
+    fn hold(self, crashes: &[Crash], threshold: usize) -> Millis {
+        let since = crashes
+            .get(threshold.saturating_sub(1)..)
+            .unwrap_or_default();
         let pairs = since.windows(2);
         let trials = pairs.filter(|pair| pair[1].at.since(pair[0].at) >= self.first);
-        let times = trials.fold(1, |times: u64, _| times.saturating_mul(LONGER));
+        let times = trials.fold(1, |times: u64, _| times.saturating_mul(HOLD_FACTOR));
         Millis(self.first.0.saturating_mul(times))
     }
 }
 
-/// `Crash` is an endpoint that broke off while a request was in progress there.
+/// `Crash` is a connection that an endpoint broke while a request was in progress there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// This life of the endpoint.
+    /// The incarnation of the endpoint.
     pub endpoint: Tag,
     /// When the request was sent there.
     pub sent: Time,
-    /// When its connection broke.
+    /// When the connection broke.
     pub at: Time,
-    /// Whether this router saw it.
-    pub own: bool,
+    /// Whether this router observed it; otherwise a peer reported it.
+    pub observed_here: bool,
 }
 
 impl Crash {
-    /// Tells whether the request was sent by the endpoint's `end`. Something between, as a proxy, may take a
-    /// connection in the name of an endpoint that has ended, and break it off.
+    /// Tells whether the request was sent before the endpoint ended at `end`. A proxy or another
+    /// intermediary may accept a connection on behalf of an endpoint that has ended, and break it.
     ///
-    /// What others tell seems to be later than it was by the time under way.
-    fn could_run(&self, end: Time) -> bool {
-        let under_way = if self.own { Millis(0) } else { TOLD_LATE };
-        self.sent <= end + under_way
+    /// Times reported by peers appear later than they were by the time the report took, so they get
+    /// a tolerance.
+    fn was_sent_before(&self, end: Time) -> bool {
+        let tolerance = if self.observed_here {
+            Millis(0)
+        } else {
+            MAX_REPORT_DELAY
+        };
+        self.sent <= end + tolerance
     }
 }
 
-/// `Told` is a crash as routers tell each other of it.
+/// `CrashReport` is a crash as routers report it to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Told {
-    /// This life of the endpoint.
+pub struct CrashReport {
+    /// The incarnation of the endpoint.
     pub endpoint: Tag,
-    /// How long ago its connection broke.
+    /// Time since the connection broke.
     pub age: Millis,
-    /// For how long it had the request then.
+    /// Time that the request had been at the endpoint when the connection broke.
     pub ran: Millis,
 }
 
-/// `Record` is what routers tell each other of a request; ages count from the sending.
+/// `Record` is what routers report to each other about a request; ages count from the sending.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its content.
+    /// Fingerprint of the request's content.
     pub request: Fingerprint,
-    /// Endpoints that broke off with it.
-    pub crashes: Vec<Told>,
-    /// Age of its newest whole answer.
+    /// Crashes while the request was in progress.
+    pub crashes: Vec<CrashReport>,
+    /// Age of its newest complete answer.
     pub answered: Option<Millis>,
 }
 
-/// `Verdict` is why and for how long a request is held back.
+/// `Verdict` is why and for how long a request is quarantined.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// Time until one may be let through; zero if it is over.
+    /// Time until a trial may be admitted; zero if the hold time is over.
     pub left: Millis,
     /// The crashes that count.
     pub crashes: Vec<Crash>,
@@ -154,88 +171,92 @@
 
 #[derive(Clone, Debug)]
 struct Suspect {
-    /// Oldest first, one of each endpoint.
+    /// Oldest first, at most one for each endpoint.
     crashes: Vec<Crash>,
-    /// When an endpoint last answered it whole. Crashes before say nothing.
+    /// When an endpoint last answered it completely. Earlier crashes are dropped.
     answered: Option<Time>,
-    /// Whole answers that this router saw.
+    /// Complete answers that this router saw.
     answers: u32,
-    /// When something new was learnt.
-    changed: Time,
-    /// When one was last let through.
-    tried: Option<Time>,
+    /// When the record last changed.
+    last_changed: Time,
+    /// When the last trial was admitted.
+    last_trial: Option<Time>,
 }
 
-/// `Quarantine` is the requests that were in progress at endpoints that broke off.
+/// `Quarantine` holds the crash records of requests.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     suspects: IndexMap<Fingerprint, Suspect>,
-    /// Newest whole answers, by this router's own hash of the content.
+    /// Newest complete answers, by this router's own hash of the content.
     answers: VecDeque<(u64, Time)>,
-    /// When peers were last reminded of what is held back.
-    reminded: Time,
-    /// Which tier of records comes first in the next digest, and which record of each tier.
-    turn: usize,
-    next: [usize; TIERS],
+    /// When quarantined requests were last announced again.
+    last_reannounced: Time,
+    /// Index into [`TIER_ORDERS`] for the next digest, and the next record of each tier.
+    tier_order: usize,
+    next_in_tier: [usize; TIERS],
 }
 
 impl Quarantine {
-    /// Tells whether some request of a workspace is known: contents of others needn't be looked at.
+    /// Tells whether the workspace has a suspect; otherwise the content of its requests need not be
+    /// hashed.
     pub fn watches(&self, workspace: u32) -> bool {
         self.suspects.keys().any(|f| f.workspace == workspace)
     }
 
-    /// Counts the requests that are known.
+    /// Counts the requests that have a record.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Tells whether none is known.
+    /// Tells whether no request has a record.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Notes that an endpoint broke off while it had a request.
+    /// Records that an endpoint broke a connection on which a request was in progress.
     pub fn crashed(&mut self, now: Time, request: Fingerprint, endpoint: Tag, sent: Time) {
         let crash = Crash {
             endpoint,
             sent,
             at: now,
-            own: true,
+            observed_here: true,
         };
-        self.suspect(now, request).note(now, crash);
+        self.suspect_mut(now, request).add_crash(now, crash);
     }
 
-    /// Notes that an endpoint answered a request whole.
+    /// Records that an endpoint answered a request completely.
     pub fn answered(&mut self, now: Time, request: Fingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.answers = suspect.answers.saturating_add(1);
-            suspect.answer(now, now);
+            suspect.apply_answer(now, now);
         }
     }
 
-    /// Remembers a whole answer by a hash of the request's content, which may be any that other routers don't know.
+    /// Remembers a complete answer by a hash of the request's content, for requests that become
+    /// suspects later. The hash is private to this process.
     pub fn remember(&mut self, now: Time, hash: u64) {
-        if self.answers.len() == MAX_ANSWERS {
+        if self.answers.len() == MAX_REMEMBERED_ANSWERS {
             self.answers.pop_front();
         }
         self.answers.push_back((hash, now));
     }
 
-    /// Looks whether a request that is suspect was answered here before it was known to be.
-    pub fn recall(&mut self, now: Time, request: Fingerprint, hash: u64) {
+    /// Credits a suspect with a complete answer that this router saw before the request became a
+    /// suspect.
+    pub fn apply_remembered_answer(&mut self, now: Time, request: Fingerprint, hash: u64) {
         let Some(suspect) = self.suspects.get_mut(&request) else {
             return;
         };
         let found = self.answers.iter().rev().find(|(of, _)| *of == hash);
-        let recent = found.filter(|(_, at)| now.since(*at) < KEPT);
+        let recent = found.filter(|(_, at)| now.since(*at) < RECORD_RETENTION);
         if let Some((_, at)) = recent {
             suspect.answers = suspect.answers.saturating_add(1);
-            suspect.answer(now, *at);
+            suspect.apply_answer(now, *at);
         }
     }
 
-    /// Tells whether a request is held back; `fared` tells how an endpoint fared since a time.
+    /// Tells whether a request is quarantined; `fared` tells whether an endpoint has lived or ended
+    /// since a time.
     pub fn verdict(
         &self,
         now: Time,
@@ -244,28 +265,29 @@
         fared: impl Fn(Tag, Time) -> Fared,
     ) -> Option<Verdict> {
         let suspect = self.suspects.get(&request)?;
-        let needed = suspect.needed(now);
-        let proved = suspect.counted(|crash| match fared(crash.endpoint, crash.at) {
+        let threshold = suspect.threshold(now);
+        let proven = suspect.counting_crashes(|crash| match fared(crash.endpoint, crash.at) {
             Fared::Lives => false,
             Fared::Ended => true,
-            Fared::Unheard => now.since(crash.at) >= SETTLED,
+            Fared::Unheard => now.since(crash.at) >= PRESUMED_ENDED_AFTER,
         });
-        if proved.len() < needed || policy.first == Millis(0) {
+        if proven.len() < threshold || policy.first == Millis(0) {
             return None;
         }
-        // Of what is held back, one more crash counts at once.
-        let crashes = suspect.counted(|c| fared(c.endpoint, c.at) != Fared::Lives);
-        let hold = policy.hold(&crashes, needed);
+        // Once a request is quarantined, a further crash counts without waiting for proof that the
+        // endpoint ended.
+        let crashes = suspect.counting_crashes(|c| fared(c.endpoint, c.at) != Fared::Lives);
+        let hold = policy.hold(&crashes, threshold);
         let last = crashes.last()?.at;
-        let tried = suspect.tried.filter(|at| *at >= last);
-        let trial = tried.map_or(Millis(0), |at| left(now, at, TRIAL));
-        let left = left(now, last, hold).max(trial);
+        let last_trial = suspect.last_trial.filter(|at| *at >= last);
+        let trial = last_trial.map_or(Millis(0), |at| time_left(now, at, TRIAL_INTERVAL));
+        let left = time_left(now, last, hold).max(trial);
         Some(Verdict { left, crashes })
     }
 
-    /// Lets one request through of those that are held back, if the time is over; `draw` is random, and `routers` is
-    /// how many there are.
-    pub fn try_one(
+    /// Admits one quarantined request as a trial if the hold time is over; `draw` is random, and
+    /// `routers` is the size of the fleet.
+    pub fn admit_trial(
         &mut self,
         now: Time,
         request: Fingerprint,
@@ -273,84 +295,91 @@
         draw: u64,
         routers: u32,
     ) -> bool {
-        let chosen = draw.is_multiple_of(u64::from(routers.max(1)) * TRIAL_PART);
+        let chosen = draw.is_multiple_of(u64::from(routers.max(1)) * TRIAL_ODDS_PER_ROUTER);
         if verdict.left > Millis(0) || !chosen {
             return false;
         }
         if let Some(suspect) = self.suspects.get_mut(&request) {
-            suspect.tried = Some(now);
+            suspect.last_trial = Some(now);
         }
         true
     }
 
-    /// Forgets what is old, and crashes that were none: of endpoints that have gone on since, and of those that had
-    /// ended before the request was sent; `fared` tells how one fared since a time.
+    /// Drops old records and false crashes: those of endpoints that have answered since, and those
+    /// of endpoints that had ended before the request was sent; `fared` tells whether an endpoint
+    /// has lived or ended since a time.
     ///
-    /// They are forgotten at once, as nothing would tell any more that they lived when they have left.
+    /// False crashes are dropped at once, because once these endpoints have left nothing proves any
+    /// more that they went on.
     pub fn expire(&mut self, now: Time, policy: Policy, fared: impl Fn(Tag, Time) -> Fared) {
         let ended = |c: &Crash| fared(c.endpoint, c.at) != Fared::Lives;
         for suspect in self.suspects.values_mut() {
             suspect.crashes.retain(ended);
         }
-        let ends = self.ends();
+        let first_crashes = self.first_crashes();
         self.suspects.retain(|_, suspect| {
-            let ran = |c: &Crash| ends.get(&c.endpoint).is_none_or(|end| c.could_run(*end));
+            let ran = |c: &Crash| {
+                first_crashes
+                    .get(&c.endpoint)
+                    .is_none_or(|end| c.was_sent_before(*end))
+            };
             suspect.crashes.retain(ran);
-            let held = policy.hold(&suspect.crashes, suspect.needed(now));
-            now.since(suspect.changed) < KEPT + held
+            let hold = policy.hold(&suspect.crashes, suspect.threshold(now));
+            now.since(suspect.last_changed) < RECORD_RETENTION + hold
         });
     }
 
-    /// Gets when each endpoint broke off first.
-    fn ends(&self) -> IndexMap<Tag, Time> {
-        let mut ends = IndexMap::new();
+    /// Returns the time of the first crash of each endpoint.
+    fn first_crashes(&self) -> IndexMap<Tag, Time> {
+        let mut first_crashes = IndexMap::new();
         for crash in self.suspects.values().flat_map(|s| &s.crashes) {
-            let end = ends.entry(crash.endpoint).or_insert(crash.at);
+            let end = first_crashes.entry(crash.endpoint).or_insert(crash.at);
             *end = crash.at.min(*end);
         }
-        ends
+        first_crashes
     }
 
-    /// Picks records for a digest, by turns of each tier. Many that were in progress at some endpoint by chance must not keep the others from being told.
+    /// Picks the records for a digest, from each tier in turn. Many requests that were in progress
+    /// at a crash by chance must not keep the others from being sent.
     pub fn records(&mut self, now: Time) -> Vec<Record> {
-        let reminds = now.since(self.reminded) >= REMINDER;
-        if reminds {
-            self.reminded = now;
+        let reannounces = now.since(self.last_reannounced) >= REANNOUNCEMENT_INTERVAL;
+        if reannounces {
+            self.last_reannounced = now;
         }
         let mut tiers: [Vec<(Fingerprint, &Suspect)>; TIERS] = Default::default();
         for (request, suspect) in &self.suspects {
-            let new = now.since(suspect.changed) < TOLD;
-            if new || (reminds && suspect.held(now)) {
+            let new = now.since(suspect.last_changed) < ANNOUNCEMENT_PERIOD;
+            if new || (reannounces && suspect.meets_threshold(now)) {
                 tiers[suspect.tier(now)].push((*request, suspect));
             }
         }
-        self.turn = (self.turn + 1) % ORDERS.len();
-        let mut records = Vec::with_capacity(MAX_RECORDS);
-        let mut room = MAX_TOLD;
-        for tier in ORDERS[self.turn] {
+        self.tier_order = (self.tier_order + 1) % TIER_ORDERS.len();
+        let mut records = Vec::with_capacity(MAX_DIGEST_RECORDS);
+        let mut room = MAX_DIGEST_CRASHES;
+        for tier in TIER_ORDERS[self.tier_order] {
             for _ in 0..tiers[tier].len() {
-                let (request, suspect) = tiers[tier][self.next[tier] % tiers[tier].len()];
-                if records.len() == MAX_RECORDS || suspect.crashes.len() > room {
+                let (request, suspect) = tiers[tier][self.next_in_tier[tier] % tiers[tier].len()];
+                if records.len() == MAX_DIGEST_RECORDS || suspect.crashes.len() > room {
                     break;
                 }
                 room -= suspect.crashes.len();
                 records.push(suspect.record(now, request));
-                self.next[tier] = self.next[tier].wrapping_add(1);
+                self.next_in_tier[tier] = self.next_in_tier[tier].wrapping_add(1);
             }
         }
         records
     }
 
-    /// Notes what a peer tells.
+    /// Merges the records that a peer sent.
     pub fn heard(&mut self, now: Time, records: &[Record]) {
         for record in records {
             let known = self.suspects.contains_key(&record.request);
             if record.crashes.is_empty() && !known {
                 continue;
             }
-            let suspect = self.suspect(now, record.request);
+            let suspect = self.suspect_mut(now, record.request);
             if let Some(age) = record.answered {
-                suspect.answer(now, now - age);
+                suspect.apply_answer(now, now - age);
             }
             for told in &record.crashes {
                 let at = now - told.age;
@@ -358,21 +387,22 @@
                     endpoint: told.endpoint,
                     sent: at - told.ran,
                     at,
-                    own: false,
+                    observed_here: false,
                 };
-                suspect.note(now, crash);
+                suspect.add_crash(now, crash);
             }
         }
     }
 
-    /// Gets a request's record; makes room for a new one where the table, or its workspace's part of it, is full.
-    fn suspect(&mut self, now: Time, request: Fingerprint) -> &mut Suspect {
+    /// Returns a request's record; inserts a new one, and evicts another where the table or the
+    /// workspace's part of it is full.
+    fn suspect_mut(&mut self, now: Time, request: Fingerprint) -> &mut Suspect {
         if !self.suspects.contains_key(&request) {
             let of = |workspace| {
                 let keys = self.suspects.keys();
                 keys.filter(|f| f.workspace == workspace).count()
             };
-            if of(request.workspace) >= MAX_OF_WORKSPACE {
+            if of(request.workspace) >= MAX_SUSPECTS_PER_WORKSPACE {
                 self.evict(|f| f.workspace == request.workspace);
             } else if self.suspects.len() >= MAX_SUSPECTS {
                 self.evict(|_| true);
@@ -382,16 +412,16 @@
             crashes: Vec::new(),
             answered: None,
             answers: 0,
-            changed: now,
-            tried: None,
+            last_changed: now,
+            last_trial: None,
         })
     }
 
-    /// Forgets the request with the fewest crashes, among those the one of which least lately something was learnt.
+    /// Drops the record with the fewest crashes; among equals the one that changed least recently.
     fn evict(&mut self, of: impl Fn(&Fingerprint) -> bool) {
         let found = self.suspects.iter().enumerate();
         let found = found.filter(|(_, (f, _))| of(f));
-        let least = found.min_by_key(|(_, (_, s))| (s.crashes.len(), s.changed));
+        let least = found.min_by_key(|(_, (_, s))| (s.crashes.len(), s.last_changed));
         if let Some(at) = least.map(|(at, _)| at) {
             self.suspects.swap_remove_index(at);
         }
@@ -399,11 +429,11 @@
 }
 
 impl Suspect {
-    /// Takes a crash in; one of an endpoint that is known already says nothing new.
-    fn note(&mut self, now: Time, crash: Crash) {
+    /// Adds a crash, unless there is one of the same endpoint already.
+    fn add_crash(&mut self, now: Time, crash: Crash) {
         if self.answered.is_some_and(|at| at >= crash.at) {
-            // Who tells of it doesn't know of the answer.
-            self.changed = now;
+            // The reporting peer does not know of the answer yet, so the answer is announced again.
+            self.last_changed = now;
             return;
         }
         if self.crashes.iter().any(|c| c.endpoint == crash.endpoint) {
@@ -411,50 +441,58 @@
         }
         let at = self.crashes.partition_point(|c| c.at <= crash.at);
         self.crashes.insert(at, crash);
-        if self.crashes.len() > MAX_CRASHES {
-            let extra = self.redundant();
+        if self.crashes.len() > MAX_CRASHES_PER_REQUEST {
+            let extra = self.least_informative();
             self.crashes.remove(extra);
             if extra == at {
                 return;
             }
         }
-        self.changed = now;
+        self.last_changed = now;
     }
 
-    /// Finds the crash that says least: one of the same moment as the two before it, else the oldest.
-    fn redundant(&self) -> usize {
+    /// Returns the index of the least informative crash: the third of a group if there is one, else
+    /// the oldest.
+    fn least_informative(&self) -> usize {
         let runs = self.crashes.windows(3);
-        let close = |run: &[Crash]| together(&run[0], &run[2]);
+        let close = |run: &[Crash]| same_group(&run[0], &run[2]);
         runs.map(close).position(|is| is).map_or(0, |n| n + 2)
     }
 
-    fn answer(&mut self, now: Time, at: Time) {
+    fn apply_answer(&mut self, now: Time, at: Time) {
         if self.answered.is_none() {
-            self.changed = now;
+            self.last_changed = now;
         }
         let before = self.crashes.len();
         self.crashes.retain(|c| c.at > at);
         if self.crashes.len() < before {
-            self.changed = now;
+            self.last_changed = now;
         }
         self.answered = self.answered.max(Some(at));
     }
 
-    /// Gets how many crashes it takes to hold it back.
-    fn needed(&self, now: Time) -> usize {
-        let recent = self.answered.is_some_and(|at| now.since(at) < KEPT);
-        if recent { CRASHES_ANSWERED } else { CRASHES }
+    /// Returns the number of crashes that quarantine the request.
+    fn threshold(&self, now: Time) -> usize {
+        let recent = self
+            .answered
+            .is_some_and(|at| now.since(at) < RECORD_RETENTION);
+        if recent {
+            QUARANTINE_THRESHOLD_ANSWERED
+        } else {
+            QUARANTINE_THRESHOLD
+        }
     }
 
-    /// Tells whether it has crashes enough to be held back.
-    fn held(&self, now: Time) -> bool {
-        self.crashes.len() >= self.needed(now)
+    /// Tells whether the request has enough crashes to be quarantined.
+    fn meets_threshold(&self, now: Time) -> bool {
+        self.crashes.len() >= self.threshold(now)
     }
 
-    /// Gets its place among what peers are told of: first what they must hold back, and what they must not. What was
-    /// answered once is seldom asked for again.
+    /// Returns the priority tier for digests. Tier 0 has requests that peers must quarantine, and
+    /// those that they must not because they were answered repeatedly. A single answer does not
+    /// count, as most requests are never repeated.
     fn tier(&self, now: Time) -> usize {
-        if self.held(now) || self.answers >= POPULAR {
+        if self.meets_threshold(now) || self.answers >= REPEATED_ANSWERS {
             0
         } else if self.crashes.len() > 1 {
             1
@@ -463,29 +501,29 @@
         }
     }
 
-    /// Lists the crashes that count, of those that `ended` an endpoint: of those at one moment one, or two if the
-    /// second met a request that was sent after the first.
-    fn counted(&self, ended: impl Fn(&Crash) -> bool) -> Vec<Crash> {
-        let mut counted: Vec<Crash> = Vec::with_capacity(self.crashes.len());
-        let mut moment: Option<Crash> = None;
+    /// Lists the crashes that count, among those for which `ended` holds: the first of each group,
+    /// and one more if its request was sent after that first crash.
+    fn counting_crashes(&self, ended: impl Fn(&Crash) -> bool) -> Vec<Crash> {
+        let mut counting_crashes: Vec<Crash> = Vec::with_capacity(self.crashes.len());
+        let mut group_start: Option<Crash> = None;
         let mut second = false;
         for crash in self.crashes.iter().filter(|crash| ended(crash)) {
-            let Some(first) = moment.filter(|first| together(first, crash)) else {
-                moment = Some(*crash);
+            let Some(first) = group_start.filter(|first| same_group(first, crash)) else {
+                group_start = Some(*crash);
                 second = false;
-                counted.push(*crash);
+                counting_crashes.push(*crash);
                 continue;
             };
             if !second && crash.sent >= first.at {
                 second = true;
-                counted.push(*crash);
+                counting_crashes.push(*crash);
             }
         }
-        counted
+        counting_crashes
     }
 
     fn record(&self, now: Time, request: Fingerprint) -> Record {
-        let told = |crash: &Crash| Told {
+        let told = |crash: &Crash| CrashReport {
             endpoint: crash.endpoint,
             age: now.since(crash.at),
             ran: crash.at.since(crash.sent),
@@ -498,12 +536,12 @@
     }
 }
 
-/// Gets what is left of a span that began at a time.
-fn left(now: Time, since: Time, span: Millis) -> Millis {
+/// Returns what is left of a time span that began at `since`.
+fn time_left(now: Time, since: Time, span: Millis) -> Millis {
     Millis(span.0.saturating_sub(now.since(since).0))
 }
 
-/// Tells whether two crashes, the earlier one first, are of one moment.
-fn together(one: &Crash, other: &Crash) -> bool {
-    other.at.since(one.at) < TOGETHER
+/// Tells whether two crashes, the earlier one first, belong to one group.
+fn same_group(one: &Crash, other: &Crash) -> bool {
+    other.at.since(one.at) < CRASH_GROUP_WINDOW
 }
--- a/crates/core/src/gateway/reading.rs
+++ b/crates/core/src/gateway/reading.rs
@@ -65,20 +65,20 @@
 /// Longest time until the decision is looked at again.
 const LOOK: Millis = Millis(500);
 
-/// `Pace` is how often the registry is read, and how long an answer proves something.
+/// `ReadTiming` is how often the registry is read, and how long an answer proves something.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace {
+pub struct ReadTiming {
     /// Time between reads.
-    pub every: Millis,
+    pub interval: Millis,
     /// Time after its sending for which a read's answer proves something.
-    pub useful: Millis,
+    pub validity: Millis,
 }
 
-/// `Standing` is where a router stands among those that may read.
+/// `ReadContext` is where a router stands among those that may read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct ReadContext {
     /// Whether a configuration is known; peers can't be asked without one.
-    pub informed: bool,
+    pub has_configuration: bool,
     /// Routers of its data centre that come before it.
     pub rank: usize,
     /// Routers of its data centre that read in calm times.
@@ -99,14 +99,14 @@
     Standby,
 }
 
-impl Pace {
+impl ReadTiming {
     /// Gets the age from which on what is proved is older than a peer that works lets it grow.
     pub const fn late(&self) -> Millis {
-        Millis(self.every.0 * LATE_HALVES / 2)
+        Millis(self.interval.0 * LATE_HALVES / 2)
     }
 }
 
-impl Standing {
+impl ReadContext {
     /// Tells whether it reads in calm times.
     pub const fn reads(&self) -> bool {
         self.rank < self.readers
@@ -114,7 +114,7 @@
 
     /// Gets its role.
     pub const fn role(&self) -> Role {
-        match (self.informed, self.reads()) {
+        match (self.has_configuration, self.reads()) {
             (false, _) => Role::Newcomer,
             (true, true) => Role::Reader,
             (true, false) => Role::Standby,
@@ -122,14 +122,14 @@
     }
 }
 
-/// `Number` is that of a read.
+/// `ReadId` is that of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Number(u64);
+pub struct ReadId(u64);
 
-/// `Reading` is the reads of one router.
+/// `ReadScheduler` is the reads of one router.
 #[derive(Debug, Default)]
-pub struct Reading {
-    open: IndexMap<Number, Open>,
+pub struct ReadScheduler {
+    open: IndexMap<ReadId, Open>,
     last: u64,
     /// When the newest read began.
     began: Time,
@@ -142,7 +142,7 @@
     /// Asks in a row that no peer answered.
     unanswered: u32,
     /// Whether a peer has something newer that is too large to be handed on.
-    owed: bool,
+    peer_withheld_update: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -152,10 +152,10 @@
     answered: bool,
 }
 
-impl Reading {
+impl ReadScheduler {
     /// Gets when the next read is to begin, as far as can be told now; not later than that it should be asked
     /// again.
-    pub fn due(&self, now: Time, standing: &Standing, pace: &Pace) -> Time {
+    pub fn due(&self, now: Time, standing: &ReadContext, pace: &ReadTiming) -> Time {
         let later = now + LOOK;
         // Another read would take half of the link from one whose bytes come.
         let comes = self.open.values().any(|open| open.answered);
@@ -171,52 +171,54 @@
     }
 
     /// Gets when what is proved will be old enough for an own read.
-    fn wanted(&self, now: Time, standing: &Standing, pace: &Pace) -> Time {
+    fn wanted(&self, now: Time, standing: &ReadContext, pace: &ReadTiming) -> Time {
         let Some(age) = standing.age else {
             return now;
         };
         let proved = now - age;
-        let every = pace.every;
+        let interval = pace.interval;
         let late = pace.late();
-        if self.owed {
-            return proved + Millis(every.0 / OWED_PART);
+        if self.peer_withheld_update {
+            return proved + Millis(interval.0 / OWED_PART);
         }
-        if !standing.informed {
-            return self.began + every;
+        if !standing.has_configuration {
+            return self.began + interval;
         }
         let alone = self.unanswered >= ALONE;
         let rank = standing.rank;
         let wait = if standing.reads() {
-            every
+            interval
         } else if alone || rank < standing.readers * FIRST_STANDBYS {
             late
         } else if rank < standing.readers * ALL_STANDBYS {
-            late + Millis(every.0 / STANDBY_STEP_PART)
+            late + Millis(interval.0 / STANDBY_STEP_PART)
         } else {
-            Millis(every.0 * LAST_QUARTERS / 4)
+            Millis(interval.0 * LAST_QUARTERS / 4)
         };
         proved + wait
     }
 
     /// Gets the time from the beginning of the newest of `open` reads without an answer to the next one.
-    fn gap(&self, open: usize, pace: &Pace) -> Millis {
-        let every = pace.every.0;
-        let usual = self.answer.map_or(every, |answer| {
-            (answer.0 * HEDGE_ANSWERS).max(every / HEDGE_PART)
+    fn gap(&self, open: usize, pace: &ReadTiming) -> Millis {
+        let interval = pace.interval.0;
+        let usual_latency = self.answer.map_or(interval, |answer| {
+            (answer.0 * HEDGE_ANSWERS).max(interval / HEDGE_PART)
         });
         let doublings = u32::try_from(open - 1).unwrap_or(u32::MAX).min(16);
         // Where answers take nearly as long as they prove something, reads follow closer on each other.
-        let long = self.answer.is_some_and(|a| a + pace.every > pace.useful);
-        let most = if long { every / SLOW_PART } else { every };
-        Millis((usual << doublings).min(most))
+        let long = self
+            .answer
+            .is_some_and(|a| a + pace.interval > pace.validity);
+        let most = if long { interval / SLOW_PART } else { interval };
+        Millis((usual_latency << doublings).min(most))
     }
 
     /// Begins a read.
-    pub fn begin(&mut self, now: Time) -> Number {
+    pub fn begin(&mut self, now: Time) -> ReadId {
         self.last += 1;
         self.began = now;
-        self.owed = false;
-        let number = Number(self.last);
+        self.peer_withheld_update = false;
+        let number = ReadId(self.last);
         let open = Open {
             began: now,
             answered: false,
@@ -227,25 +229,25 @@
 
     /// Tells whether the calls of a read that begins now are to be made at the same time: answers take so long, or
     /// seem to, that one after the other they would prove too little.
-    pub fn hurries(&self, now: Time, pace: &Pace) -> bool {
-        let slow = Millis(pace.every.0 / SLOW_PART);
-        let late = Millis(pace.every.0 / HEDGE_PART);
+    pub fn calls_in_parallel(&self, now: Time, pace: &ReadTiming) -> bool {
+        let slow = Millis(pace.interval.0 / SLOW_PART);
+        let late = Millis(pace.interval.0 / HEDGE_PART);
         let waits = |open: &Open| !open.answered && now.since(open.began) >= late;
         self.answer.is_some_and(|answer| answer >= slow) || self.open.values().any(waits)
     }
 
     /// Gets how long a read may wait for an answer: as long as that could prove something.
-    pub fn patience(pace: &Pace) -> Millis {
-        pace.useful.min(MAX_PATIENCE)
+    pub fn answer_timeout(pace: &ReadTiming) -> Millis {
+        pace.validity.min(MAX_PATIENCE)
     }
 
     /// Gets the time that an answer takes now; zero where none has come yet.
-    pub fn usual(&self) -> Millis {
+    pub fn usual_latency(&self) -> Millis {
         self.answer.unwrap_or_default()
     }
 
     /// Notes that an answer to a read has begun to come.
-    pub fn heard(&mut self, now: Time, number: Number) {
+    pub fn answer_started(&mut self, now: Time, number: ReadId) {
         if let Some(open) = self.open.get_mut(&number)
             && !open.answered
         {
@@ -255,15 +257,15 @@
     }
 
     /// Notes that a read is whole; lists those that began before it, whose answers are lost or prove no more.
-    pub fn whole(&mut self, number: Number) -> Vec<Number> {
+    pub fn whole(&mut self, number: ReadId) -> Vec<ReadId> {
         self.failures = 0;
-        self.owed = false;
+        self.peer_withheld_update = false;
         self.again = Time(0);
         let Some(ended) = self.open.swap_remove(&number) else {
             return Vec::new();
         };
         let older = self.open.iter().filter(|(_, o)| o.began <= ended.began);
-        let older: Vec<Number> = older.map(|(number, _)| *number).collect();
+        let older: Vec<ReadId> = older.map(|(number, _)| *number).collect();
         for number in &older {
             self.open.swap_remove(number);
         }
@@ -274,7 +276,7 @@
     /// that routers that failed together don't call together.
     ///
     /// One that a later read has made needless counts for nothing.
-    pub fn failed(&mut self, now: Time, number: Number, standing: &Standing, draw: u64) -> u32 {
+    pub fn failed(&mut self, now: Time, number: ReadId, standing: &ReadContext, draw: u64) -> u32 {
         if self.open.swap_remove(&number).is_none() {
             return self.failures;
         }
@@ -306,7 +308,7 @@
     }
 
     /// Notes that a peer has something newer that it doesn't hand on.
-    pub fn owed(&mut self) {
-        self.owed = true;
+    pub fn peer_withheld_update(&mut self) {
+        self.peer_withheld_update = true;
     }
 }
--- a/crates/core/src/gateway/settings.rs
+++ b/crates/core/src/gateway/settings.rs
@@ -4,7 +4,7 @@
     gateway::{
         budget::Policy,
         quarantine,
-        reading::Pace,
+        reading::ReadTiming,
         warmup, //
     },
     units::{
@@ -44,10 +44,10 @@
 
 impl Bounds {
     /// Gets how the registry is read to keep them.
-    pub fn pace(&self) -> Pace {
-        Pace {
-            every: self.read_every,
-            useful: self.routes.min(self.keys),
+    pub fn pace(&self) -> ReadTiming {
+        ReadTiming {
+            interval: self.read_every,
+            validity: self.routes.min(self.keys),
         }
     }
 }
--- a/crates/core/src/gateway/stop.rs
+++ b/crates/core/src/gateway/stop.rs
@@ -11,9 +11,9 @@
     },
 };
 
-/// `End` is when a router that stops ends.
+/// `StopDeadline` is when a router that stops ends.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct End {
+pub(super) struct StopDeadline {
     at: Time,
     /// Longest limit of a route that counts: that of the whole stop, then any.
     covers: Millis,
@@ -26,7 +26,7 @@
     /// still come for some time and most answers take a small part of such a limit.
     pub fn end_at(&mut self, now: Time, end: Time) {
         let covers = end.since(now);
-        self.end = Some(End { at: end, covers });
+        self.end = Some(StopDeadline { at: end, covers });
     }
 
     /// Notes that callers go to other routers by now: nothing is taken that may be cut.
@@ -37,7 +37,7 @@
     }
 
     /// Tells whether a request of a route that may last until `until` would be cut by the stop.
-    pub(super) fn outlasts(&self, route: &Route, until: Time) -> bool {
+    pub(super) fn outlasts_stop(&self, route: &Route, until: Time) -> bool {
         self.end
             .is_some_and(|end| until > end.at && route.limit <= end.covers)
     }
--- a/crates/core/src/gateway/warmup.rs
+++ b/crates/core/src/gateway/warmup.rs
@@ -6,7 +6,7 @@
 //!   fixed part of the bound; the others send it nothing. No router needs to know what another one has sent.
 //! - **A router that hears nobody** keeps to its part in the fleet that it remembers. One that has started lately and
 //!   still hears of others for the first time, or has never heard of another, owns nothing.
-//! - **Proof**: the parts of all owners add up to the bound divided by [`DISPUTE`], so that the bound holds also where
+//! - **Proof**: the parts of all owners add up to the bound divided by [`MAX_OWNER_SETS`], so that the bound holds also where
 //!   routers disagree and an endpoint has that many times its owners. On either side of a cut the owners are among those
 //!   that come first of that side, whether they remember the other side or not. `tests/gateway/warmup.rs` holds it over
 //!   random histories of cuts, restarts and pauses.
@@ -32,7 +32,7 @@
 /// Time without another new router after which it has heard of most: each digest brings several.
 const QUIET: Millis = Millis(700);
 /// Times its owners that an endpoint may have while routers disagree on who there is: both sides of a cut.
-pub const DISPUTE: u32 = 2;
+pub const MAX_OWNER_SETS: u32 = 2;
 /// Time for which a router that isn't heard of is still counted as an owner. It may be cut off and use its part.
 const MEMBER_TTL: Millis = Millis(600_000);
 /// Most routers that are remembered; beyond it the one that was heard least recently goes.
@@ -54,16 +54,16 @@
     pub slack: u32,
 }
 
-/// `Rate` is what a service publishes of its endpoints' start.
+/// `ColdStart` is what a service publishes of its endpoints' start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rate {
+pub struct ColdStart {
     /// How long an endpoint is cold.
     pub time: Millis,
     /// Thousandths of a request a second that it tolerates meanwhile.
     pub per_second: Permille,
 }
 
-impl Rate {
+impl ColdStart {
     /// Gets the requests that an endpoint may get within a second.
     pub fn bound(&self, policy: &Policy) -> u32 {
         let rate = u64::from(self.per_second.0) * u64::from(policy.over.0) / 1_000_000;
@@ -84,9 +84,9 @@
     pub expected: bool,
 }
 
-/// `Cold` is an endpoint that is warming up.
+/// `ColdEndpoint` is an endpoint that is warming up.
 #[derive(Clone, Copy, Debug)]
-pub struct Cold {
+pub struct ColdEndpoint {
     /// The endpoint.
     pub key: EndpointKey,
     /// Hash of its name.
@@ -164,7 +164,7 @@
 
 impl Warmup {
     /// Follows which routers there are, and divides what the cold endpoints may get.
-    pub fn follow(&mut self, now: Time, fleet: &Fleet, cold: &[Cold]) {
+    pub fn follow(&mut self, now: Time, fleet: &Fleet, cold: &[ColdEndpoint]) {
         let started = *self.started.get_or_insert(now);
         self.me = fleet.me;
         let mut changed = self.remember(now, &fleet.others);
@@ -211,12 +211,12 @@
     }
 
     /// Gets this router's part of an endpoint's bound.
-    fn quota(&self, endpoint: &Cold) -> u32 {
+    fn quota(&self, endpoint: &ColdEndpoint) -> u32 {
         if !self.settled || endpoint.bound == 0 {
             return 0;
         }
         let routers = u32::try_from(self.members.len() + 1).unwrap_or(u32::MAX);
-        let owners = (endpoint.bound / DISPUTE).max(1);
+        let owners = (endpoint.bound / MAX_OWNER_SETS).max(1);
         if routers <= owners {
             return owners / routers;
         }
--- a/crates/core/tests/gateway/endpoint.rs
+++ b/crates/core/tests/gateway/endpoint.rs
@@ -19,7 +19,7 @@
             State, //
         },
         fate::Fate,
-        mesh::Sight,
+        mesh::EndpointReport,
     },
     units::{
         Millis,
@@ -64,7 +64,7 @@
         eq(1),
         "only the router's own request"
     );
-    expect_that!(endpoint.sight(Time(2000)), none());
+    expect_that!(endpoint.report(Time(2000)), none());
 }
 
 /// A newer load from a peer replaces the known one, plus this router's own requests that were sent after it.
@@ -72,16 +72,16 @@
 fn verify_a_peer_s_load_counts_if_it_is_newer() {
     let mut endpoint = Endpoint::new(None, entry(1));
     endpoint.state_load(Time(1000), load(5));
-    let sight = |load, age| Sight {
+    let report = |load, age| EndpointReport {
         endpoint: 0,
         load: Some(load),
         age: Millis(age),
         confirmed: false,
     };
-    endpoint.seen(Time(1150), sight(9, 250));
+    endpoint.seen(Time(1150), report(9, 250));
     expect_that!(endpoint.load(Time(1150)), eq(5));
     endpoint.sent(Time(1100));
-    endpoint.seen(Time(1150), sight(9, 100));
+    endpoint.seen(Time(1150), report(9, 100));
     expect_that!(endpoint.load(Time(1150)), eq(10));
 }
 
--- a/crates/core/tests/gateway/lives.rs
+++ b/crates/core/tests/gateway/lives.rs
@@ -105,11 +105,11 @@
         slots: 64,
     };
     gateway.stated(Time(6), key, load);
-    let (sights, _) = gateway.observed(Time(7), 1);
+    let (reports, _) = gateway.observed(Time(7), 1);
     apply_entry(&mut gateway, 8, entry_started_at(number, 200));
     expect_that!(gateway.registry().get(key).is_none(), eq(true));
     // A report about the old incarnation, from a router that has not heard of the restart.
-    gateway.seen(Time(9), &sights);
+    gateway.seen(Time(9), &reports);
     let mut all = gateway.registry().of(b"engines");
     let (new_key, endpoint) = all
         .find(|(_, e)| e.entry.id == id)
@@ -290,7 +290,7 @@
                 Step::Copy(from, to) if from != to => {
                     let known_revision = routers[to].mirror.revision();
                     let delta = routers[from].mirror.since(known_revision);
-                    let records = routers[to].mirror.copy(delta);
+                    let records = routers[to].mirror.apply_from_peer(delta);
                     routers[to].follow(now, &records);
                 }
                 Step::Copy(..) => {}
--- a/crates/core/tests/gateway/mesh.rs
+++ b/crates/core/tests/gateway/mesh.rs
@@ -14,10 +14,10 @@
 use toucanturn_core::{
     gateway::mesh::{
         Digest,
-        MAX_RUMORS,
+        GOSSIP_INTERVAL,
+        Heartbeat, //
+        MAX_HEARTBEATS,
         Mesh,
-        ROUND,
-        Rumor, //
     },
     units::{
         Incarnation,
@@ -31,8 +31,8 @@
     SocketAddrV4::new(Ipv4Addr::from(0x0a00_0000 + number), 7000)
 }
 
-fn rumor(number: usize, incarnation: u64) -> Rumor {
-    Rumor {
+fn heartbeat(number: usize, incarnation: u64) -> Heartbeat {
+    Heartbeat {
         address: address(number),
         data_center: u32::try_from(number % 4).expect("the number fits"),
         incarnation: Incarnation(incarnation),
@@ -54,7 +54,7 @@
 impl Fleet {
     fn new(count: usize, seeds: &[usize], loss: f64) -> Self {
         let seeds: Vec<SocketAddrV4> = seeds.iter().map(|n| address(*n)).collect();
-        let router = |n| Some(Mesh::new(rumor(n, 1), seeds.clone()));
+        let router = |n| Some(Mesh::new(heartbeat(n, 1), seeds.clone()));
         Self {
             routers: (0..count).map(router).collect(),
             rng: StdRng::seed_from_u64(7),
@@ -65,7 +65,7 @@
     }
 
     fn run_round(&mut self) {
-        self.now = self.now + ROUND;
+        self.now = self.now + GOSSIP_INTERVAL;
         for n in 0..self.routers.len() {
             let draw = self.rng.random();
             let Some(mesh) = &mut self.routers[n] else {
@@ -78,7 +78,7 @@
             let digests: Vec<(SocketAddrV4, Digest)> = targets.into_iter().map(digest).collect();
             for (target, digest) in digests {
                 self.sent.0 += 1;
-                self.sent.1 += digest.rumors.len();
+                self.sent.1 += digest.heartbeats.len();
                 self.deliver(target, &digest);
             }
         }
@@ -91,7 +91,7 @@
             .routers
             .get_mut(usize::try_from(at).expect("the number fits"));
         if let (Some(Some(mesh)), false) = (found, lost) {
-            mesh.hear(self.now, digest);
+            mesh.receive(self.now, digest);
         }
     }
 
@@ -106,7 +106,7 @@
         let digest = self
             .router(from)
             .digest(now, address(to), reads, Vec::new());
-        expect_true!(self.router(to).hear(now, &digest));
+        expect_true!(self.router(to).receive(now, &digest));
     }
 
     fn fleet_sizes(&self) -> Vec<u32> {
@@ -115,7 +115,7 @@
     }
 
     fn run_seconds(&mut self, seconds: u64) {
-        for _ in 0..seconds * 1000 / ROUND.0 {
+        for _ in 0..seconds * 1000 / GOSSIP_INTERVAL.0 {
             self.run_round();
         }
     }
@@ -138,7 +138,7 @@
     let datagrams = fleet.sent.0 as f64 / 330.0 / 10.0;
     // Two targets in each of ten rounds a second, and a seed in every twentieth round.
     expect_that!(datagrams, le(20.6));
-    expect_that!(fleet.sent.1, le(fleet.sent.0 * MAX_RUMORS));
+    expect_that!(fleet.sent.1, le(fleet.sent.0 * MAX_HEARTBEATS));
 }
 
 #[gtest]
@@ -157,7 +157,7 @@
     let mut fleet = Fleet::new(20, &[1, 2], 0.0);
     fleet.run_seconds(5);
     for n in 0..20 {
-        fleet.routers[n] = Some(Mesh::new(rumor(n, 2), vec![address(1), address(2)]));
+        fleet.routers[n] = Some(Mesh::new(heartbeat(n, 2), vec![address(1), address(2)]));
     }
     fleet.run_seconds(5);
     expect_that!(fleet.fleet_sizes(), each(eq(&20)));
@@ -167,19 +167,19 @@
 /// replayed one would make loads of a minute ago look new.
 #[gtest]
 fn verify_a_replayed_digest_is_rejected() {
-    let mut one = Mesh::new(rumor(1, 1), vec![]);
-    let mut other = Mesh::new(rumor(2, 1), vec![]);
+    let mut one = Mesh::new(heartbeat(1, 1), vec![]);
+    let mut other = Mesh::new(heartbeat(2, 1), vec![]);
     other.round(Time(0), 1);
     let old = other.digest(Time(0), address(1), true, Vec::new());
-    expect_true!(one.hear(Time(0), &old));
+    expect_true!(one.receive(Time(0), &old));
     other.round(Time(200), 1);
-    expect_true!(one.hear(
+    expect_true!(one.receive(
         Time(200),
         &other.digest(Time(200), address(1), true, Vec::new())
     ));
-    expect_false!(one.hear(Time(300), &old));
+    expect_false!(one.receive(Time(300), &old));
     // A router also rejects its own digest.
-    expect_false!(other.hear(Time(300), &old));
+    expect_false!(other.receive(Time(300), &old));
 }
 
 /// One router of each data centre reads the registry, and the others copy from a router that reads.
@@ -214,10 +214,10 @@
     let all = 0..fleet.routers.len();
     let (readers, rest): (Vec<usize>, Vec<usize>) = all.partition(|n| fleet.router(*n).reads(now));
     let follower = rest[0];
-    let data_center = rumor(follower, 1).data_center;
+    let data_center = heartbeat(follower, 1).data_center;
     let reader = readers
         .iter()
-        .find(|n| rumor(**n, 1).data_center == data_center);
+        .find(|n| heartbeat(**n, 1).data_center == data_center);
     let reader = *reader.expect("the data centre has a reader");
     fleet.send_digest(reader, follower, false);
     let upstream = fleet.router(follower).upstream(now);
@@ -231,7 +231,7 @@
             let at =
                 usize::try_from(u32::from(*other.ip()) - 0x0a00_0000).expect("the number fits");
             expect_that!(at, not(eq(reader)));
-            expect_that!(rumor(at, 1).data_center, eq(data_center));
+            expect_that!(heartbeat(at, 1).data_center, eq(data_center));
         }
         None => expect_true!(fleet.router(follower).reads(now)),
     }
@@ -251,23 +251,29 @@
         }
     }
     expect_that!(fleet.router(one).upstream(now), none());
-    let found = fleet.router(one).distant(now, 6);
+    let found = fleet.router(one).fallback_upstream(now, 6);
     expect_that!(found, some(eq(address(other))));
     // Every other query goes to a router of its own data centre that reads when the first one can't.
     let local = fleet
         .router(one)
-        .distant(now, 3)
+        .fallback_upstream(now, 3)
         .expect("a router is known");
     let at = usize::try_from(u32::from(*local.ip()) - 0x0a00_0000).expect("the number fits");
     expect_that!(at, not(eq(one)));
-    expect_that!(rumor(at, 1).data_center, eq(rumor(one, 1).data_center));
+    expect_that!(
+        heartbeat(at, 1).data_center,
+        eq(heartbeat(one, 1).data_center)
+    );
     // If no router announces reading, it queries any but those that didn't answer.
     for n in 0..16 {
         if n != one && n != 5 {
             fleet.router(one).avoid(now, address(n), Millis(500));
         }
     }
-    expect_that!(fleet.router(one).distant(now, 3), some(eq(address(5))));
+    expect_that!(
+        fleet.router(one).fallback_upstream(now, 3),
+        some(eq(address(5)))
+    );
 }
 
 /// Guards against a router that the registry refuses and that hears from no peer, so that it refuses all requests
@@ -275,11 +281,11 @@
 /// yet, and it queried only peers whose recent digests announce reading.
 #[gtest]
 fn verify_an_isolated_router_queries_its_seeds() {
-    let mesh = Mesh::new(rumor(1, 1), vec![address(1), address(7)]);
+    let mesh = Mesh::new(heartbeat(1, 1), vec![address(1), address(7)]);
     expect_that!(mesh.upstream(Time(0)), none());
-    expect_that!(mesh.distant(Time(0), 4), some(eq(address(7))));
-    let alone = Mesh::new(rumor(1, 1), vec![address(1)]);
-    expect_that!(alone.distant(Time(0), 4), none());
+    expect_that!(mesh.fallback_upstream(Time(0), 4), some(eq(address(7))));
+    let alone = Mesh::new(heartbeat(1, 1), vec![address(1)]);
+    expect_that!(alone.fallback_upstream(Time(0), 4), none());
 }
 
 /// Guards against routers that start together and each take themselves for the reader of their data centre, logged as
--- a/crates/core/tests/gateway/mirror.rs
+++ b/crates/core/tests/gateway/mirror.rs
@@ -107,7 +107,7 @@
     let (mut early, mut late) = (Mirror::default(), Mirror::default());
     early.apply(full_delta(5, vec![record(1, 2), record(2, 4)]));
     late.apply(full_delta(9, vec![record(2, 4), record(3, 8)]));
-    let changed = early.copy(late.since(early.revision()));
+    let changed = early.apply_from_peer(late.since(early.revision()));
     expect_that!(changed, contains(eq(&removal(1, 9))));
 }
 
@@ -119,7 +119,7 @@
     reader.apply(full_delta(10, vec![record(1, 2)]));
     reader.apply(full_delta(14, vec![record(1, 2)]));
     other.apply(full_delta(12, vec![record(1, 2), record(2, 11)]));
-    other.copy(reader.since(other.revision()));
+    other.apply_from_peer(reader.since(other.revision()));
     expect_that!(
         other.since(Revision(0)).records,
         elements_are![eq(&record(1, 2))]
@@ -138,7 +138,7 @@
     reader.apply(full_delta(7, vec![record(2, 3)]));
     other.apply(full_delta(7, vec![record(1, 2), record(2, 3)]));
     reader.apply(partial_delta(8, vec![removal(1, 8)]));
-    let changed = other.copy(reader.since(other.revision()));
+    let changed = other.apply_from_peer(reader.since(other.revision()));
     expect_that!(changed, elements_are![eq(&removal(1, 8))]);
 }
 
@@ -226,7 +226,7 @@
                 Step::ReadChanges(_) => {}
                 Step::CopyFrom(router, source) => {
                     let delta = mirrors[source].since(mirrors[router].revision());
-                    mirrors[router].copy(delta);
+                    mirrors[router].apply_from_peer(delta);
                 }
             }
             for mirror in &mirrors {
@@ -256,7 +256,7 @@
             let records = held.iter().zip(0..).filter_map(|(at, n)| Some(record(n, (*at)?)));
             first.apply(full_delta(at, records.collect()));
             if copies {
-                follower.copy(first.since(follower.revision()));
+                follower.apply_from_peer(first.since(follower.revision()));
                 let sorted = |mirror: &Mirror| {
                     let mut all = mirror.since(Revision(0)).records;
                     all.sort_by(|a, b| a.key.cmp(&b.key));
--- a/crates/core/tests/gateway/proof.rs
+++ b/crates/core/tests/gateway/proof.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use toucanturn_core::{
-    gateway::proof::Proof,
+    gateway::proof::FreshnessProof,
     units::{
         Millis,
         Time, //
@@ -11,12 +11,12 @@
 
 #[gtest]
 fn verify_any_age_limit_is_exceeded_before_the_first_read() {
-    expect_false!(Proof::default().holds(Time(0), Millis(u64::MAX)));
+    expect_false!(FreshnessProof::default().holds(Time(0), Millis(u64::MAX)));
 }
 
 #[gtest]
 fn verify_age_counts_from_the_sending_of_the_newest_read() {
-    let mut proof = Proof::default();
+    let mut proof = FreshnessProof::default();
     proof.renew(Time(1000));
     // The answer to an older read doesn't reset the age.
     proof.renew(Time(400));
--- a/crates/core/tests/gateway/quarantine.rs
+++ b/crates/core/tests/gateway/quarantine.rs
@@ -19,12 +19,12 @@
         },
         mesh::{
             FANOUT,
-            ROUND, //
+            GOSSIP_INTERVAL, //
         },
         quarantine::{
             self,
-            MAX_OF_WORKSPACE,
             MAX_SUSPECTS,
+            MAX_SUSPECTS_PER_WORKSPACE,
             Policy,
             Quarantine, //
         },
@@ -308,7 +308,7 @@
     let crashed_at = Time(3000 + hold_ms + 3100);
     let records = vec![quarantine::Record {
         request: fingerprint("a"),
-        crashes: vec![quarantine::Told {
+        crashes: vec![quarantine::CrashReport {
             endpoint: Tag(9),
             age: Millis(0),
             ran: Millis(100),
@@ -333,7 +333,7 @@
     for n in 0..3 {
         send_crashing_request(&mut gateway, Time(1000 + n * 700), "a");
     }
-    let crashes = |n: u32| quarantine::Told {
+    let crashes = |n: u32| quarantine::CrashReport {
         endpoint: Tag(n),
         age: Millis(u64::from(n) * 300),
         ran: Millis(100),
@@ -403,9 +403,9 @@
     expect_that!(one.observed(later, 1).1, is_empty());
     let (_, records) = other.observed(later, 1);
     one.crashed(later, &records);
-    let (_, records) = one.observed(later + ROUND, 1);
-    other.crashed(later + ROUND, &records);
-    expect_false!(is_quarantined(&mut other, later + ROUND, "a"));
+    let (_, records) = one.observed(later + GOSSIP_INTERVAL, 1);
+    other.crashed(later + GOSSIP_INTERVAL, &records);
+    expect_false!(is_quarantined(&mut other, later + GOSSIP_INTERVAL, "a"));
 }
 
 #[gtest]
@@ -440,7 +440,7 @@
             Time(0),
         );
     }
-    expect_that!(table.len(), eq(MAX_OF_WORKSPACE + 1));
+    expect_that!(table.len(), eq(MAX_SUSPECTS_PER_WORKSPACE + 1));
     expect_that!(
         table.verdict(Time(20_000), kept, policy, always_ended),
         some(anything())
@@ -498,7 +498,7 @@
     }
 
     fn run_round(&mut self) {
-        self.now = self.now + ROUND;
+        self.now = self.now + GOSSIP_INTERVAL;
         let now = self.now;
         for n in 0..self.routers.len() {
             self.routers[n].tick(now);
@@ -515,7 +515,7 @@
     }
 
     fn run_for(&mut self, time: Millis) {
-        for _ in 0..time.0 / ROUND.0 {
+        for _ in 0..time.0 / GOSSIP_INTERVAL.0 {
             self.run_round();
         }
     }
@@ -627,7 +627,7 @@
         }
         let mut sent = std::collections::HashSet::new();
         for round in 0..28 {
-            let records = table.records(Time(1100) + Millis(round * ROUND.0));
+            let records = table.records(Time(1100) + Millis(round * GOSSIP_INTERVAL.0));
             sent.extend(records.into_iter().map(|r| r.request));
         }
         expect_that!(sent.len() as u64, eq(requests));
@@ -651,7 +651,7 @@
         table.answered(Time(1100), record_key(n));
     }
     table.answered(Time(1100), record_key(59));
-    let mut rounds = (1..5).map(|n| table.records(Time(1100) + Millis(n * ROUND.0)));
+    let mut rounds = (1..5).map(|n| table.records(Time(1100) + Millis(n * GOSSIP_INTERVAL.0)));
     let sent = rounds.any(|records| records.iter().any(|r| r.request == record_key(59)));
     expect_true!(sent);
 }
--- a/crates/core/tests/gateway/reading.rs
+++ b/crates/core/tests/gateway/reading.rs
@@ -3,9 +3,9 @@
 use googletest::prelude::*;
 use toucanturn_core::{
     gateway::reading::{
-        Pace,
-        Reading,
-        Standing, //
+        ReadContext, //
+        ReadScheduler,
+        ReadTiming,
     },
     units::{
         Millis,
@@ -13,23 +13,23 @@
     },
 };
 
-const PACE: Pace = Pace {
-    every: Millis(1200),
-    useful: Millis(3600),
+const PACE: ReadTiming = ReadTiming {
+    interval: Millis(1200),
+    validity: Millis(3600),
 };
 
 /// The standing of the first router of its data centre, whose newest successful read was sent at `read`.
-fn reader_standing(now: Time, read: Time) -> Standing {
-    Standing {
-        informed: true,
+fn reader_standing(now: Time, read: Time) -> ReadContext {
+    ReadContext {
+        has_configuration: true,
         rank: 0,
         readers: 1,
         age: Some(now.since(read)),
     }
 }
 
-fn standing_of_rank(rank: usize, now: Time, read: Time) -> Standing {
-    Standing {
+fn standing_of_rank(rank: usize, now: Time, read: Time) -> ReadContext {
+    ReadContext {
         rank,
         ..reader_standing(now, read)
     }
@@ -51,7 +51,7 @@
 /// Simulates one reader of a registry over `span`; `latency` returns how long the answer to a read that begins at
 /// a given time takes, or `None` if it never comes.
 fn simulate(span: Millis, mut latency: impl FnMut(Time) -> Option<Millis>) -> Run {
-    let mut reading = Reading::default();
+    let mut reading = ReadScheduler::default();
     let mut open = Vec::new();
     let mut read = None;
     let mut run = Run {
@@ -65,13 +65,14 @@
             .position(|(_, _, answer_at)| *answer_at == Some(now));
         if let Some(at) = answered {
             let (number, sent, _) = open.remove(at);
-            reading.heard(now, number);
+            reading.answer_started(now, number);
             let older = reading.whole(number);
             open.retain(|(number, _, _)| !older.contains(number));
             read = read.max(Some(sent));
         }
-        let timed_out =
-            |(_, sent, _): &(_, Time, Option<Time>)| now.since(*sent) >= Reading::patience(&PACE);
+        let timed_out = |(_, sent, _): &(_, Time, Option<Time>)| {
+            now.since(*sent) >= ReadScheduler::answer_timeout(&PACE)
+        };
         if let Some(at) = open.iter().position(timed_out) {
             let (number, _, _) = open.remove(at);
             let standing = reader_standing(now, read.unwrap_or_default());
@@ -81,7 +82,7 @@
         if now >= MEASURED_FROM {
             run.max_age = run.max_age.max(age.unwrap_or_default());
         }
-        let standing = Standing {
+        let standing = ReadContext {
             age,
             ..reader_standing(now, now)
         };
@@ -109,7 +110,7 @@
 fn verify_reads_overlap_while_answers_are_slow() {
     for latency in [400, 1200, 2200, 2300] {
         let run = simulate(Millis(60_000), |_| Some(Millis(latency)));
-        expect_that!(run.max_age, le(PACE.useful), "{latency}");
+        expect_that!(run.max_age, le(PACE.validity), "{latency}");
         // Except for the first ones, no more reads than with fast answers.
         expect_that!(run.reads, le(51 + 3), "{latency}");
     }
@@ -125,7 +126,7 @@
     let run = simulate(Millis(30_000), |now| {
         Some(Millis(if now < Time(10_000) { 8 } else { 2000 }))
     });
-    expect_that!(run.max_age, le(PACE.useful));
+    expect_that!(run.max_age, le(PACE.validity));
 }
 
 /// Guards against a lost answer that delays the next read by 0.9 s and a pause, which makes the router's copy older
@@ -155,7 +156,7 @@
 /// Standby routers read only when their copy is older than it gets while a peer works, and then only a few of them.
 #[gtest]
 fn verify_standbys_read_by_rank() {
-    let reading = Reading::default();
+    let reading = ReadScheduler::default();
     let due = |rank, age: u64| {
         let now = Time(100_000);
         let standing = standing_of_rank(rank, now, now - Millis(age));
@@ -175,7 +176,7 @@
 /// read the registry itself as long as some peer answered, even if that peer had nothing newer.
 #[gtest]
 fn verify_a_router_of_any_rank_reads_before_a_promise_is_broken() {
-    let mut reading = Reading::default();
+    let mut reading = ReadScheduler::default();
     reading.peer_answered();
     let now = Time(100_000);
     for rank in [4, 30, 400] {
@@ -188,7 +189,7 @@
 /// A router whose peers don't answer reads the registry itself, whatever its rank.
 #[gtest]
 fn verify_a_router_without_peers_reads() {
-    let mut reading = Reading::default();
+    let mut reading = ReadScheduler::default();
     let now = Time(100_000);
     let standing = standing_of_rank(30, now, now - Millis(1800));
     reading.peer_silent();
@@ -202,15 +203,15 @@
 /// Data that a peer has but doesn't forward is read at once, and only once.
 #[gtest]
 fn verify_data_that_a_peer_does_not_forward_is_read_from_the_registry() {
-    let mut reading = Reading::default();
+    let mut reading = ReadScheduler::default();
     let now = Time(100_000);
     let standing = standing_of_rank(30, now, now - Millis(700));
     expect_that!(reading.due(now, &standing, &PACE), gt(now));
-    reading.owed();
+    reading.peer_withheld_update();
     expect_that!(reading.due(now, &standing, &PACE), le(now));
     let number = reading.begin(now);
-    reading.owed();
-    reading.heard(now + Millis(8), number);
+    reading.peer_withheld_update();
+    reading.answer_started(now + Millis(8), number);
     reading.whole(number);
     let later = now + Millis(100);
     let standing = standing_of_rank(30, later, now);
@@ -220,9 +221,9 @@
 /// While an answer is arriving, no second read starts: it would take half of the link's bandwidth.
 #[gtest]
 fn verify_no_second_read_starts_while_an_answer_is_arriving() {
-    let mut reading = Reading::default();
+    let mut reading = ReadScheduler::default();
     let number = reading.begin(Time(0));
-    reading.heard(Time(20), number);
+    reading.answer_started(Time(20), number);
     let now = Time(3000);
     expect_that!(
         reading.due(now, &reader_standing(now, Time(0)), &PACE),
@@ -234,15 +235,15 @@
 /// there is one.
 #[gtest]
 fn verify_a_router_without_configuration_reads_once_per_interval() {
-    let mut reading = Reading::default();
-    let standing = |age| Standing {
-        informed: false,
+    let mut reading = ReadScheduler::default();
+    let standing = |age| ReadContext {
+        has_configuration: false,
         age,
         ..standing_of_rank(30, Time(0), Time(0))
     };
     expect_that!(reading.due(Time(0), &standing(None), &PACE), le(Time(0)));
     let number = reading.begin(Time(0));
-    reading.heard(Time(8), number);
+    reading.answer_started(Time(8), number);
     reading.whole(number);
     let due = reading.due(Time(800), &standing(Some(Millis(800))), &PACE);
     expect_that!(due, eq(Time(1200)));
@@ -253,7 +254,7 @@
 fn verify_retries_of_failed_reads_are_spread() {
     let now = Time(100_000);
     let retry_after_ms = |rank, draw| {
-        let mut reading = Reading::default();
+        let mut reading = ReadScheduler::default();
         let standing = standing_of_rank(rank, now, now - Millis(9000));
         for _ in 0..6 {
             let number = reading.begin(now);
@@ -274,7 +275,7 @@
 /// answered, fails at the same moment, and its failure is counted.
 #[gtest]
 fn verify_the_failure_of_an_abandoned_read_is_ignored() {
-    let mut reading = Reading::default();
+    let mut reading = ReadScheduler::default();
     let older = reading.begin(Time(0));
     let newer = reading.begin(Time(300));
     expect_that!(reading.whole(newer), elements_are![eq(&older)]);
--- a/crates/core/tests/gateway/skew.rs
+++ b/crates/core/tests/gateway/skew.rs
@@ -135,11 +135,11 @@
 
     /// Sends a router's digest to two others.
     fn send_digest(&mut self, now: u64, index: usize) {
-        let (sights, _) = self.routers[index].observed(Time(now), now);
+        let (reports, _) = self.routers[index].observed(Time(now), now);
         let samples = self.routers[index].samples();
         for _ in 0..2 {
             let receiver = self.rng.random_range(0..self.size.routers);
-            self.routers[receiver].seen(Time(now), &sights);
+            self.routers[receiver].seen(Time(now), &reports);
             self.routers[receiver].sampled(Time(now), &samples);
         }
     }
--- a/crates/core/tests/gateway/staying.rs
+++ b/crates/core/tests/gateway/staying.rs
@@ -6,7 +6,7 @@
         Change,
         Gateway,
         Ticket,
-        mesh::Sight,
+        mesh::EndpointReport,
         refusal::Cause, //
     },
     units::{
@@ -139,8 +139,8 @@
     confirm_by_answer(&mut one, Time(2500));
     let mut other = gateway(1);
     run_ticks(&mut other, 0, 2600);
-    let (sights, _) = one.observed(Time(2600), 1);
-    other.seen(Time(2600), &sights);
+    let (reports, _) = one.observed(Time(2600), 1);
+    other.seen(Time(2600), &reports);
     // Sent at 2500, but counted as sent at 1700: 300 ms for the answer and 500 ms for the digest's transit.
     expect_that!(try_place(&mut other, FIRST_UNCONFIRMED), ok(anything()));
     expect_that!(try_place(&mut other, Time(4399)), ok(anything()));
@@ -156,7 +156,7 @@
 /// as the suspension was long.
 #[gtest]
 fn verify_a_digest_that_waited_for_a_suspended_router_confirms_nothing() {
-    let confirmation = |gateway: &Gateway, load| Sight {
+    let confirmation = |gateway: &Gateway, load| EndpointReport {
         endpoint: gateway
             .registry()
             .usable()
@@ -172,17 +172,17 @@
     for load in [None, Some(3)] {
         let mut suspended = gateway(1);
         run_ticks(&mut suspended, 0, 1000);
-        let sight = confirmation(&suspended, load);
+        let report = confirmation(&suspended, load);
         // Suspended from 1000 to 4000; the datagram is read before and after the first tick.
-        suspended.seen(Time(4000), &[sight]);
+        suspended.seen(Time(4000), &[report]);
         suspended.tick(Time(4001));
-        suspended.seen(Time(4002), &[sight]);
+        suspended.seen(Time(4002), &[report]);
         expect_that!(
             try_place(&mut suspended, Time(4003)),
             err(eq(Cause::Unconfirmed))
         );
         run_ticks(&mut suspended, 4100, 4200);
-        suspended.seen(Time(4200), &[sight]);
+        suspended.seen(Time(4200), &[report]);
         expect_that!(try_place(&mut suspended, Time(4201)), ok(anything()));
     }
 }
@@ -192,10 +192,10 @@
 fn verify_an_answer_without_a_load_is_reported_to_peers() {
     let mut one = gateway(1);
     confirm_by_answer(&mut one, Time(2500));
-    let (sights, _) = one.observed(Time(2600), 1);
+    let (reports, _) = one.observed(Time(2600), 1);
     expect_that!(
-        sights,
-        elements_are![matches_pattern!(Sight {
+        reports,
+        elements_are![matches_pattern!(EndpointReport {
             load: none(),
             age: eq(&Millis(100)),
             confirmed: eq(&true),
@@ -203,7 +203,7 @@
         })]
     );
     let mut other = gateway(1);
-    other.seen(Time(2600), &sights);
+    other.seen(Time(2600), &reports);
     let (_, endpoint) = other
         .registry()
         .usable()
--- a/crates/core/tests/gateway/warmup.rs
+++ b/crates/core/tests/gateway/warmup.rs
@@ -19,9 +19,9 @@
         endpoint::Entry,
         refusal::Cause,
         warmup::{
-            Cold,
+            ColdEndpoint,
+            ColdStart,
             Fleet,
-            Rate,
             Warmup, //
         },
     },
@@ -69,7 +69,7 @@
 struct Simulation {
     discovery: Discovery,
     routers: Vec<Router>,
-    cold: Cold,
+    cold: ColdEndpoint,
     now_ms: u64,
     arrivals: VecDeque<u64>,
     /// Most requests within a second.
@@ -91,7 +91,7 @@
         Self {
             discovery: Discovery::Doubling,
             routers: (0..count).map(router).collect(),
-            cold: Cold {
+            cold: ColdEndpoint {
                 key: keys.insert(()),
                 seed,
                 bound,
@@ -308,7 +308,7 @@
 /// Makes a gateway that is the only router, with a service that limits requests to its cold endpoints.
 fn gateway(endpoints: &[Entry]) -> Gateway {
     let mut raw = raw_catalog(1);
-    raw.services[0].warmup = Some(Rate {
+    raw.services[0].warmup = Some(ColdStart {
         time: Millis(3000),
         per_second: Permille(14_000),
     });
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -453,7 +453,7 @@
             let endpoint = gateway.registry().life(c.endpoint);
             let name = endpoint.map(|e| text(&e.entry.id).into_owned());
             let name = name.unwrap_or_else(|| format!("{:08x}", c.endpoint.0));
-            let by = if c.own { "here" } else { "elsewhere" };
+            let by = if c.observed_here { "here" } else { "elsewhere" };
             format!("{name} {} ms ago {by}", now.since(c.at).0)
         };
         let crashes: Vec<String> = verdict.crashes.iter().map(seen).collect();
--- a/crates/gateway/src/copies.rs
+++ b/crates/gateway/src/copies.rs
@@ -62,12 +62,12 @@
             sleep(LOOK).await;
             continue;
         };
-        let every = state.gateway.borrow().bounds().pace().every;
+        let interval = state.gateway.borrow().bounds().pace().interval;
         // The first time only: once others are asked, too, nothing is gained by an early answer.
         let wait = if late(state) && last.get() != Answer::Nothing {
-            Millis(every.0 / LATE_PART)
+            Millis(interval.0 / LATE_PART)
         } else {
-            every
+            interval
         };
         let wait = wait.min(peers::MAX_WAIT);
         let link = kept(&mut upstream, peer);
@@ -92,7 +92,7 @@
     loop {
         let alone = || last.get() == Answer::Nothing || followed(state).is_none();
         let wanted = late(state) && alone();
-        if let Some(peer) = wanted.then(|| distant(state)).flatten() {
+        if let Some(peer) = wanted.then(|| fallback_upstream(state)).flatten() {
             let link = kept(&mut other, peer);
             ask(state, link, Millis(0), reader).await;
         }
@@ -117,9 +117,9 @@
 }
 
 /// Gets another router to ask.
-fn distant(state: &Shared) -> Option<SocketAddrV4> {
+fn fallback_upstream(state: &Shared) -> Option<SocketAddrV4> {
     let draw = state.gateway.borrow_mut().draw();
-    let other = state.mesh.borrow().distant(now(), draw);
+    let other = state.mesh.borrow().fallback_upstream(now(), draw);
     other.filter(|_| informed(state))
 }
 
@@ -151,7 +151,7 @@
             state.metrics.count("registry", "copied");
             state.reads.set(false);
             state.reading.borrow_mut().peer_answered();
-            feed::apply(state, read, delta, Mirror::copy, reader);
+            feed::apply(state, read, delta, Mirror::apply_from_peer, reader);
             return Answer::News;
         }
         Err(error) => error,
@@ -167,8 +167,8 @@
             state.metrics.count("registry", "too large to copy");
             let mut reading = state.reading.borrow_mut();
             reading.peer_answered();
-            reading.owed();
-            state.owed.notify_one();
+            reading.peer_withheld_update();
+            state.peer_withheld_update.notify_one();
             return Answer::Large;
         }
         Some(StatusCode::SERVICE_UNAVAILABLE) => {
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -14,7 +14,7 @@
 };
 use toucanturn_core::gateway::mesh::{
     Digest,
-    ROUND, //
+    GOSSIP_INTERVAL, //
 };
 use toucanturn_wire::gossip::{
     MAX_DATAGRAM,
@@ -32,13 +32,13 @@
 /// Hears and tells for good.
 pub async fn run(state: Shared, socket: UdpSocket) {
     let mut buffer = [0; MAX_DATAGRAM];
-    let mut rounds = interval(Duration::from_millis(ROUND.0));
+    let mut rounds = interval(Duration::from_millis(GOSSIP_INTERVAL.0));
     rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = rounds.tick() => tell(&state, &socket).await,
             heard = socket.recv_from(&mut buffer) => match heard {
-                Ok((length, _)) => hear(&state, &buffer[..length]),
+                Ok((length, _)) => receive(&state, &buffer[..length]),
                 // A peer that is gone may be told of by its machine; the next one is heard.
                 Err(error) => tracing::debug!(%error, "no datagram"),
             },
@@ -58,14 +58,14 @@
         let targets = mesh.round(at, draw);
         let reads = state.reads.get();
         let samples = gateway.samples();
-        let (sights, crashes) = gateway.observed(at, draw);
+        let (reports, crashes) = gateway.observed(at, draw);
         gateway.fleet(at, mesh.size(at));
         gateway.follow_fleet(at, &mesh.fleet(at));
         let sealed = |target| {
             let digest = Digest {
                 samples: samples.clone(),
                 crashes: crashes.clone(),
-                ..mesh.digest(at, target, reads, sights.clone())
+                ..mesh.digest(at, target, reads, reports.clone())
             };
             let payload = encode_digest(&digest);
             (seal(&catalog.secret, catalog.version, payload), target)
@@ -79,15 +79,15 @@
     }
 }
 
-fn hear(state: &Shared, datagram: &[u8]) {
+fn receive(state: &Shared, datagram: &[u8]) {
     let opened = open(datagram, |epoch| state.secret(epoch));
     let digest = opened.and_then(|(epoch, payload)| Ok((epoch, decode_digest(&payload)?)));
     match digest {
         Ok((epoch, digest)) => {
-            let fresh = state.mesh.borrow_mut().hear(now(), &digest);
+            let fresh = state.mesh.borrow_mut().receive(now(), &digest);
             if fresh {
                 let mut gateway = state.gateway.borrow_mut();
-                gateway.seen(now(), &digest.sights);
+                gateway.seen(now(), &digest.reports);
                 gateway.crashed(now(), &digest.crashes);
                 // Services have other indices in another configuration.
                 if gateway.catalog().is_some_and(|c| c.version == epoch) {
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -34,8 +34,8 @@
     gateway::{
         Gateway,
         mesh::{
+            Heartbeat, //
             Mesh,
-            Rumor, //
         },
     },
     ids::Tag,
@@ -173,7 +173,7 @@
     let heard = SocketAddrV4::new(*listen.peers.ip(), addresses.2.port());
     let socket = UdpSocket::bind(heard).await.context(context(heard))?;
     let seed = toucanturn_clock::now().wall.0;
-    let me = Rumor {
+    let me = Heartbeat {
         address: heard,
         data_center: Tag::of(settings.data_center.as_bytes()).0,
         incarnation: Incarnation(seed),
--- a/crates/gateway/src/reads.rs
+++ b/crates/gateway/src/reads.rs
@@ -28,10 +28,10 @@
             Mirror, //
         },
         reading::{
-            Number,
-            Pace,
-            Reading,
-            Standing, //
+            ReadContext, //
+            ReadId,
+            ReadScheduler,
+            ReadTiming,
         },
     },
     units::{
@@ -88,7 +88,7 @@
 
 /// `Ended` is a read that has ended.
 struct Ended {
-    number: Number,
+    number: ReadId,
     sent: Time,
     calls: u32,
     /// Its connection, unless something was wrong with it.
@@ -101,7 +101,7 @@
 /// `Reads` is the reads under way.
 struct Reads {
     running: JoinSet<Ended>,
-    handles: IndexMap<Number, AbortHandle>,
+    handles: IndexMap<ReadId, AbortHandle>,
     kept: Vec<Link>,
     /// Whether the next read begins with everything, as changes could not be told.
     anew: bool,
@@ -131,44 +131,47 @@
                 }
             }
             () = sleep(duration(due.since(at))) => {}
-            () = state.owed.notified() => {}
+            () = state.peer_withheld_update.notified() => {}
         }
     }
 }
 
-fn standing(state: &Shared) -> Standing {
+fn standing(state: &Shared) -> ReadContext {
     let now = now();
     let (rank, readers) = state.mesh.borrow().rank(now);
     let gateway = state.gateway.borrow();
-    Standing {
-        informed: gateway.catalog().is_some(),
+    ReadContext {
+        has_configuration: gateway.catalog().is_some(),
         rank,
         readers,
         age: gateway.proof().age(now),
     }
 }
 
-pub(crate) fn pace(state: &Shared) -> Pace {
+pub(crate) fn pace(state: &Shared) -> ReadTiming {
     state.gateway.borrow().bounds().pace()
 }
 
 impl Reads {
-    fn begin(&mut self, state: &Shared, reader: &Rc<Reader>, pace: &Pace) {
+    fn begin(&mut self, state: &Shared, reader: &Rc<Reader>, pace: &ReadTiming) {
         let sent = now();
         // A router that knows no configuration reads everything: that is one call, as long as it is little.
-        let informed = state.gateway.borrow().catalog().is_some();
-        let told = informed && !self.anew;
+        let has_configuration = state.gateway.borrow().catalog().is_some();
+        let told = has_configuration && !self.anew;
         let held = told.then(|| state.mirror.borrow().revision());
         let read = (reader.begin)(held);
         let link = self.kept.pop().unwrap_or_else(|| Link::new(state.registry));
         let mut reading = state.reading.borrow_mut();
         let number = reading.begin(sent);
-        let ahead = read.ahead.clone().filter(|_| reading.hurries(sent, pace));
+        let ahead = read
+            .ahead
+            .clone()
+            .filter(|_| reading.calls_in_parallel(sent, pace));
         let made = Made {
             state: state.clone(),
             number,
             sent,
-            patience: duration(Reading::patience(pace)),
+            answer_timeout: duration(ReadScheduler::answer_timeout(pace)),
             calls: 0,
             anew: false,
         };
@@ -233,9 +236,9 @@
 /// `Made` is the calls of one read.
 struct Made {
     state: Shared,
-    number: Number,
+    number: ReadId,
     sent: Time,
-    patience: Duration,
+    answer_timeout: Duration,
     calls: u32,
     anew: bool,
 }
@@ -302,21 +305,21 @@
         watches: bool,
     ) -> Result<bytes::Bytes, Error> {
         self.calls += 1;
-        let usual = self.state.reading.borrow().usual();
+        let usual_latency = self.state.reading.borrow().usual_latency();
         let first = match watches {
-            true => duration(usual + usual + WATCH_PATIENCE),
-            false => self.patience,
+            true => duration(usual_latency + usual_latency + WATCH_PATIENCE),
+            false => self.answer_timeout,
         };
         let request = request(path)?;
-        let heard = || self.heard();
-        Ok(link.call(request, times(first), &heard).await?)
+        let answer_started = || self.answer_started();
+        Ok(link.call(request, times(first), &answer_started).await?)
     }
 
     /// Makes a call at the same time as the read's first one, on a connection of its own.
     fn call_ahead(&mut self, path: String) -> Ahead {
         self.calls += 1;
         let mut link = Link::new(self.state.registry);
-        let times = times(self.patience);
+        let times = times(self.answer_timeout);
         let made = path.clone();
         let call = spawn_local(async move {
             let request = request(&made)?;
@@ -325,9 +328,9 @@
         Ahead { path, call }
     }
 
-    fn heard(&self) {
+    fn answer_started(&self) {
         let mut reading = self.state.reading.borrow_mut();
-        reading.heard(now(), self.number);
+        reading.answer_started(now(), self.number);
     }
 }
 
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -23,7 +23,7 @@
         Gateway,
         mesh::Mesh,
         mirror::Mirror,
-        reading::Reading, //
+        reading::ReadScheduler, //
     },
     units::{
         Millis,
@@ -104,9 +104,9 @@
     /// Where the registry is.
     pub registry: SocketAddrV4,
     /// When to read it.
-    pub reading: RefCell<Reading>,
+    pub reading: RefCell<ReadScheduler>,
     /// Tells when a peer holds something newer that it doesn't hand on.
-    pub owed: Notify,
+    pub peer_withheld_update: Notify,
     /// The changes that were last packed for peers.
     pub packed: RefCell<Option<Packed>>,
     /// Whether the copy comes from own reads.
@@ -140,7 +140,7 @@
             changes: watch::Sender::new(Known::default()),
             registry,
             reading: RefCell::default(),
-            owed: Notify::new(),
+            peer_withheld_update: Notify::new(),
             packed: RefCell::default(),
             reads: Cell::new(false),
             first_read: Cell::new(now() + FIRST_READ),
--- a/crates/replay/src/lab/fleet.rs
+++ b/crates/replay/src/lab/fleet.rs
@@ -40,11 +40,11 @@
         },
         fingerprint::Fingerprint,
         mesh::{
+            EndpointReport, //
             FANOUT,
-            MAX_SIGHTS,
-            ROUND,
+            GOSSIP_INTERVAL,
+            MAX_REPORTS,
             Sample,
-            Sight, //
         },
         quarantine::{
             Policy as Hold,
@@ -125,7 +125,7 @@
 enum Next {
     Try(usize),
     Arrive(usize, usize),
-    Hear(usize, Vec<Sight>, Vec<Sample>, Vec<Record>),
+    Hear(usize, Vec<EndpointReport>, Vec<Sample>, Vec<Record>),
     Broke(usize),
     Back(usize),
 }
@@ -285,8 +285,8 @@
                     Next::Try(number) if lost => self.later(now + RETRY, Next::Try(number)),
                     Next::Try(number) => self.place(now, number),
                     Next::Arrive(number, engine) => self.arrive(now, number, engine),
-                    Next::Hear(who, sights, samples, records) => {
-                        self.routers[who].seen(Time(now), &sights);
+                    Next::Hear(who, reports, samples, records) => {
+                        self.routers[who].seen(Time(now), &reports);
                         self.routers[who].sampled(Time(now), &samples);
                         self.routers[who].crashed(Time(now), &records);
                     }
@@ -481,18 +481,18 @@
             return;
         }
         for who in 0..self.routers.len() {
-            if !(now + who as u64 * ROUND.0 / routers).is_multiple_of(ROUND.0) {
+            if !(now + who as u64 * GOSSIP_INTERVAL.0 / routers).is_multiple_of(GOSSIP_INTERVAL.0) {
                 continue;
             }
             let router = &mut self.routers[who];
             router.fleet(Time(now), u32::try_from(routers).unwrap_or(u32::MAX));
             router.tick(Time(now));
-            let (sights, records) = router.observed(Time(now), now);
-            debug_assert!(sights.len() <= MAX_SIGHTS);
+            let (reports, records) = router.observed(Time(now), now);
+            debug_assert!(reports.len() <= MAX_REPORTS);
             let samples = router.samples();
             for _ in 0..FANOUT {
                 let whom = self.rng.random_range(0..self.routers.len());
-                let hear = Next::Hear(whom, sights.clone(), samples.clone(), records.clone());
+                let hear = Next::Hear(whom, reports.clone(), samples.clone(), records.clone());
                 self.later(now + WAY, hear);
             }
         }
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -39,12 +39,12 @@
         fingerprint::Fingerprint,
         mesh::{
             Digest,
-            MAX_RUMORS,
+            EndpointReport, //
+            Heartbeat,
+            MAX_HEARTBEATS,
+            MAX_REPORTS,
             MAX_SAMPLES,
-            MAX_SIGHTS,
-            Rumor,
             Sample,
-            Sight, //
         },
         mirror::{
             Delta,
@@ -52,8 +52,8 @@
         },
         quarantine::{
             self,
-            MAX_CRASHES,
-            MAX_RECORDS, //
+            MAX_CRASHES_PER_REQUEST,
+            MAX_DIGEST_RECORDS, //
         },
     },
     ids::Tag,
@@ -79,13 +79,13 @@
 /// one could take all memory with a small message.
 const MAX_UNPACKED: u64 = 4 << 20;
 // Digests have 32 bits for what holds of each sight.
-const _: () = assert!(MAX_SIGHTS <= 32);
+const _: () = assert!(MAX_REPORTS <= 32);
 /// Longest age in a digest; what is older says nothing.
 const MAX_AGE: u64 = 60_000;
 /// Milliseconds of a step of ages in a digest.
 const AGE_STEP: u64 = 16;
 // Digests have 32 bits for which routers read.
-const _: () = assert!(MAX_RUMORS <= 32);
+const _: () = assert!(MAX_HEARTBEATS <= 32);
 
 /// `Error` says why a message is passed over.
 #[derive(Debug, Snafu)]
@@ -160,7 +160,7 @@
     Ok((epoch, sealed.payload))
 }
 
-fn heartbeat(rumor: &Rumor) -> proto::Heartbeat {
+fn heartbeat(rumor: &Heartbeat) -> proto::Heartbeat {
     proto::Heartbeat {
         ip: u32::from(*rumor.address.ip()),
         port: rumor.address.port().into(),
@@ -178,14 +178,14 @@
     let answered =
         |c: &quarantine::Record| c.answered.map_or(0, |age| steps(age).saturating_add(1));
     let endpoints = crashes.iter().flat_map(|c| &c.crashes);
-    let loads = digest.sights.iter().map(|s| s.load.unwrap_or_default());
+    let loads = digest.reports.iter().map(|s| s.load.unwrap_or_default());
     let from = &digest.from;
-    let rumors = &digest.rumors;
-    let ports = rumors.iter().map(|r| u32::from(r.address.port()));
-    let elsewhere = rumors
+    let heartbeats = &digest.heartbeats;
+    let ports = heartbeats.iter().map(|r| u32::from(r.address.port()));
+    let elsewhere = heartbeats
         .iter()
         .any(|r| r.address.port() != from.address.port());
-    let life = |r: &Rumor| {
+    let life = |r: &Heartbeat| {
         r.incarnation
             .0
             .wrapping_sub(from.incarnation.0)
@@ -193,21 +193,24 @@
     };
     proto::Digest {
         from: Some(heartbeat(from)),
-        ips: rumors.iter().map(|r| u32::from(*r.address.ip())).collect(),
+        ips: heartbeats
+            .iter()
+            .map(|r| u32::from(*r.address.ip()))
+            .collect(),
         ports: ports.filter(|_| elsewhere).collect(),
-        data_centers: rumors.iter().map(|r| r.data_center).collect(),
-        lives: rumors.iter().map(life).collect(),
-        beats: rumors.iter().map(|r| r.beat).collect(),
-        reading: bits(rumors, |r| r.reads),
-        endpoints: digest.sights.iter().map(|s| s.endpoint).collect(),
+        data_centers: heartbeats.iter().map(|r| r.data_center).collect(),
+        lives: heartbeats.iter().map(life).collect(),
+        beats: heartbeats.iter().map(|r| r.beat).collect(),
+        reading: bits(heartbeats, |r| r.reads),
+        endpoints: digest.reports.iter().map(|s| s.endpoint).collect(),
         loads: loads.collect(),
         ages: digest
-            .sights
+            .reports
             .iter()
             .map(|s| steps(Millis(s.age.0.min(MAX_AGE))))
             .collect(),
-        confirmed: bits(&digest.sights, |s| s.confirmed),
-        loadless: bits(&digest.sights, |s| s.load.is_none()),
+        confirmed: bits(&digest.reports, |s| s.confirmed),
+        loadless: bits(&digest.reports, |s| s.load.is_none()),
         sample_services: digest.samples.iter().map(|s| s.service).collect(),
         sample_parts: digest.samples.iter().map(|s| s.part).collect(),
         sample_works: digest.samples.iter().map(|s| s.work).collect(),
@@ -249,9 +252,12 @@
     let from = raw.from.context(PartSnafu { what: "a sender" })?;
     let columns = raw.endpoints.len() == raw.loads.len() && raw.loads.len() == raw.ages.len();
     let what = "columns of one bounded length";
-    ensure!(columns && raw.loads.len() <= MAX_SIGHTS, PartSnafu { what });
+    ensure!(
+        columns && raw.loads.len() <= MAX_REPORTS,
+        PartSnafu { what }
+    );
     let from = rumor(from)?;
-    let rumors = rumors(&raw, &from)?;
+    let heartbeats = heartbeats(&raw, &from)?;
     let rows = raw.sample_services.len();
     let columns = rows == raw.sample_parts.len() && rows == raw.sample_works.len();
     let what = "a bounded sample of requests";
@@ -264,9 +270,9 @@
         work: *work,
     });
     let rows = raw.endpoints.iter().zip(&raw.loads).zip(&raw.ages);
-    let sights = rows
+    let reports = rows
         .enumerate()
-        .map(|(row, ((endpoint, load), age))| Sight {
+        .map(|(row, ((endpoint, load), age))| EndpointReport {
             endpoint: *endpoint,
             load: (raw.loadless >> row & 1 == 0).then_some(*load),
             age: self::age(*age),
@@ -274,8 +280,8 @@
         });
     Ok(Digest {
         from,
-        rumors,
-        sights: sights.collect(),
+        heartbeats,
+        reports: reports.collect(),
         samples: samples.collect(),
         crashes: crashes(&raw)?,
     })
@@ -289,9 +295,9 @@
         raw.crash_counts.len(),
         raw.crash_answers.len(),
     ];
-    let whole = columns.iter().all(|column| *column == rows) && rows <= MAX_RECORDS;
+    let whole = columns.iter().all(|column| *column == rows) && rows <= MAX_DIGEST_RECORDS;
     let counts = raw.crash_counts.iter().map(|count| *count as usize);
-    let bounded = counts.clone().all(|count| count <= MAX_CRASHES);
+    let bounded = counts.clone().all(|count| count <= MAX_CRASHES_PER_REQUEST);
     let what = "a bounded number of crashes";
     ensure!(whole && bounded, PartSnafu { what });
     let all: usize = counts.clone().sum();
@@ -302,7 +308,7 @@
     ];
     let whole = columns.iter().all(|column| *column == all);
     ensure!(whole, PartSnafu { what });
-    let mut ended = (0..all).map(|row| quarantine::Told {
+    let mut ended = (0..all).map(|row| quarantine::CrashReport {
         endpoint: Tag(raw.crash_endpoints[row]),
         age: age(raw.crash_ages[row]),
         ran: age(raw.crash_runs[row]),
@@ -319,13 +325,13 @@
 }
 
 /// Puts the columns of a digest's sample of routers together.
-fn rumors(raw: &proto::Digest, from: &Rumor) -> Result<Vec<Rumor>> {
+fn heartbeats(raw: &proto::Digest, from: &Heartbeat) -> Result<Vec<Heartbeat>> {
     let rows = raw.ips.len();
     let columns = [raw.data_centers.len(), raw.lives.len(), raw.beats.len()];
     let whole = columns.iter().all(|column| *column == rows);
     let ports = raw.ports.is_empty() || raw.ports.len() == rows;
     let what = "a bounded sample of routers";
-    ensure!(whole && ports && rows <= MAX_RUMORS, PartSnafu { what });
+    ensure!(whole && ports && rows <= MAX_HEARTBEATS, PartSnafu { what });
     let same = u32::from(from.address.port());
     let made = (0..rows).map(|row| {
         rumor(proto::Heartbeat {
@@ -343,10 +349,10 @@
     made.collect()
 }
 
-fn rumor(raw: proto::Heartbeat) -> Result<Rumor> {
+fn rumor(raw: proto::Heartbeat) -> Result<Heartbeat> {
     let port = u16::try_from(raw.port).ok().filter(|p| *p > 0);
     let port = port.context(PartSnafu { what: "a port" })?;
-    Ok(Rumor {
+    Ok(Heartbeat {
         address: SocketAddrV4::new(Ipv4Addr::from(raw.ip), port),
         data_center: raw.data_center,
         incarnation: Incarnation(raw.incarnation),
--- a/crates/wire/tests/gossip.rs
+++ b/crates/wire/tests/gossip.rs
@@ -21,12 +21,12 @@
         mesh::{
             self,
             Digest,
-            MAX_RUMORS,
+            EndpointReport, //
+            Heartbeat,
+            MAX_HEARTBEATS,
+            MAX_REPORTS,
             MAX_SAMPLES,
-            MAX_SIGHTS,
-            Rumor,
             Sample,
-            Sight, //
         },
         mirror::{
             Delta,
@@ -34,9 +34,9 @@
         },
         quarantine::{
             self,
-            MAX_CRASHES,
-            MAX_RECORDS,
-            MAX_TOLD, //
+            MAX_CRASHES_PER_REQUEST,
+            MAX_DIGEST_CRASHES, //
+            MAX_DIGEST_RECORDS,
         },
     },
     ids::Tag,
@@ -63,8 +63,8 @@
 
 const SECRET: [u8; 32] = [9; 32];
 
-fn rumor(number: u32) -> Rumor {
-    Rumor {
+fn heartbeat(number: u32) -> Heartbeat {
+    Heartbeat {
         address: SocketAddrV4::new(Ipv4Addr::from(0xffff_0000 + number), 65_535),
         data_center: u32::MAX,
         incarnation: Incarnation(1_900_000_000_000 + u64::from(number) * 7_200_000),
@@ -73,8 +73,8 @@
     }
 }
 
-fn digest(rumors: usize, sights: usize) -> Digest {
-    let sight = |n: usize| Sight {
+fn digest(heartbeats: usize, reports: usize) -> Digest {
+    let report = |n: usize| EndpointReport {
         endpoint: u32::MAX - u32::try_from(n).expect("it is small"),
         load: (!n.is_multiple_of(3)).then_some(300),
         age: Millis(2000),
@@ -86,12 +86,12 @@
         work: 10_000,
     };
     Digest {
-        from: rumor(0),
-        rumors: (0..rumors)
-            .map(|n| rumor(u32::try_from(n).expect("it is small")))
+        from: heartbeat(0),
+        heartbeats: (0..heartbeats)
+            .map(|n| heartbeat(u32::try_from(n).expect("it is small")))
             .collect(),
-        sights: (0..sights).map(sight).collect(),
-        samples: (0..sights.min(MAX_SAMPLES)).map(sample).collect(),
+        reports: (0..reports).map(report).collect(),
+        samples: (0..reports.min(MAX_SAMPLES)).map(sample).collect(),
         crashes: Vec::new(),
     }
 }
@@ -100,7 +100,7 @@
 fn crashes(number: u64, endpoints: usize) -> quarantine::Record {
     let ended = |n: usize| {
         let number = u32::try_from(n).expect("it is small");
-        quarantine::Told {
+        quarantine::CrashReport {
             endpoint: Tag(u32::MAX - number),
             age: Millis(1_600_000),
             ran: Millis(4000),
@@ -165,9 +165,9 @@
 fn verify_ages_are_never_told_younger() {
     for age in (0..3000).chain([59_999, 60_000]) {
         let mut sent = digest(0, 1);
-        sent.sights[0].age = Millis(age);
+        sent.reports[0].age = Millis(age);
         let told = decode_digest(&encode_digest(&sent)).expect("it is a digest");
-        let told = told.sights[0].age;
+        let told = told.reports[0].age;
         expect_that!(told, ge(Millis(age)));
         expect_that!(told, lt(Millis(age + 16)));
     }
@@ -176,26 +176,26 @@
 /// Routers on other ports, and such as started before the sender, come back as they were.
 #[gtest]
 fn verify_routers_of_all_kinds_come_back_as_they_were() {
-    let mut sent = digest(MAX_RUMORS, 0);
-    sent.rumors[1].address.set_port(1);
-    sent.rumors[2].incarnation = Incarnation(0);
-    sent.rumors[3].incarnation = Incarnation(u64::MAX);
-    sent.rumors[4].reads = false;
+    let mut sent = digest(MAX_HEARTBEATS, 0);
+    sent.heartbeats[1].address.set_port(1);
+    sent.heartbeats[2].incarnation = Incarnation(0);
+    sent.heartbeats[3].incarnation = Incarnation(u64::MAX);
+    sent.heartbeats[4].reads = false;
     let told = decode_digest(&encode_digest(&sent)).expect("it is a digest");
     expect_that!(told, eq(&sent));
 }
 
 /// Makes the largest digests, with and without crashes.
 fn largest() -> [Digest; 2] {
-    let spread = |n: usize| usize::from(n == 0) + MAX_TOLD / MAX_RECORDS;
-    let records = (0..MAX_RECORDS).map(|n| crashes(2 * n as u64, spread(n)));
+    let spread = |n: usize| usize::from(n == 0) + MAX_DIGEST_CRASHES / MAX_DIGEST_RECORDS;
+    let records = (0..MAX_DIGEST_RECORDS).map(|n| crashes(2 * n as u64, spread(n)));
     let crashes: Vec<quarantine::Record> = records.collect();
-    let sights = MAX_SIGHTS - mesh::displaced(&crashes);
+    let reports = MAX_REPORTS - mesh::displaced_reports(&crashes);
     let crashed = Digest {
         crashes,
-        ..digest(MAX_RUMORS, sights)
+        ..digest(MAX_HEARTBEATS, reports)
     };
-    [digest(MAX_RUMORS, MAX_SIGHTS), crashed]
+    [digest(MAX_HEARTBEATS, MAX_REPORTS), crashed]
 }
 
 /// The largest digest fits into one packet.
@@ -245,17 +245,19 @@
 
 #[gtest]
 fn verify_digests_beyond_their_bounds_are_refused() {
-    let long = encode_digest(&digest(MAX_RUMORS + 1, 1));
+    let long = encode_digest(&digest(MAX_HEARTBEATS + 1, 1));
     expect_that!(decode_digest(&long), err(pat!(Error::Part { .. })));
-    let wide = encode_digest(&digest(1, MAX_SIGHTS + 1));
+    let wide = encode_digest(&digest(1, MAX_REPORTS + 1));
     expect_that!(decode_digest(&wide), err(pat!(Error::Part { .. })));
-    let mut many = digest(1, MAX_SIGHTS);
+    let mut many = digest(1, MAX_REPORTS);
     many.samples.extend_from_within(..1);
     let many = encode_digest(&many);
     expect_that!(decode_digest(&many), err(pat!(Error::Part { .. })));
     let odd = [
-        vec![crashes(1, MAX_CRASHES + 1)],
-        (0..=MAX_RECORDS as u64).map(|n| crashes(n, 1)).collect(),
+        vec![crashes(1, MAX_CRASHES_PER_REQUEST + 1)],
+        (0..=MAX_DIGEST_RECORDS as u64)
+            .map(|n| crashes(n, 1))
+            .collect(),
     ];
     for crashes in odd {
         let many = Digest {
