--- a/crates/core/src/gateway/mirror.rs
+++ b/crates/core/src/gateway/mirror.rs
@@ -1,8 +1,8 @@
-//! A copy of what the registry publishes, which routers hand on to each other.
+//! A copy of the registry's published records, which routers pass on to each other.
 //!
-//! Calls to a registry are few and dear in a large fleet. So one router of a data centre reads it,
-//! and the others ask that one for what has changed, and how old it is. The copy holds records as
-//! they were published, without their meaning.
+//! Calls to a registry are expensive and limited in a large fleet. So one router of a data centre
+//! reads it, and the others ask that router for what has changed and how old it is. The copy holds
+//! records as they were published, without interpreting them.
 
 use std::collections::VecDeque;
 
@@ -11,36 +11,37 @@
 
 use crate::units::Revision;
 
-/// Removals that are remembered; one who asks for older ones gets everything.
-const MAX_REMOVED: usize = 1024;
-/// Spans that are remembered of which a copy can't tell all removals; one who asks from before the
-/// oldest of more gets everything.
-const MAX_BLIND: usize = 64;
+/// Limit of the remembered removals; a peer that asks for changes since an older revision gets all
+/// records.
+const MAX_REMEMBERED_REMOVALS: usize = 1024;
+/// Limit of the remembered spans of which not all removals are known; a peer that asks for changes
+/// since an older one gets all records.
+const MAX_UNOBSERVED_SPANS: usize = 64;
 
-/// `Record` is one published item.
+/// `Record` is a published record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its key.
+    /// Key of the record.
     pub key: Bytes,
-    /// Its value; `None` when it was removed.
+    /// Value of the record; `None` if it was removed.
     pub value: Option<Bytes>,
     /// Revision of its last change.
     pub revision: Revision,
 }
 
-/// `Delta` is what has changed.
+/// `Delta` is a set of changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Delta {
-    /// Revision that the copy has with it.
+    /// Revision of a copy that has applied the changes.
     pub revision: Revision,
-    /// Whether these are all records that there are.
+    /// Whether these are all existing records rather than changes.
     pub whole: bool,
     /// The records.
     pub records: Vec<Record>,
 }
 
 impl Delta {
-    /// Counts the bytes of its keys and values.
+    /// Counts the bytes of all keys and values.
     pub fn bytes(&self) -> usize {
         let value = |r: &Record| r.value.as_ref().map_or(0, Bytes::len);
         self.records.iter().map(|r| r.key.len() + value(r)).sum()
@@ -51,80 +52,82 @@
 ///
 /// # Invariants
 ///
-/// Every removal after `horizon` is remembered, but for records that came and went within a span of
-/// `blind`. Spans are in order and don't overlap.
+/// Every removal after `horizon` is remembered, except for records that were created and removed
+/// within a span of `unobserved`. Spans are in order and do not overlap.
 #[derive(Clone, Debug, Default)]
 pub struct Mirror {
     revision: Revision,
     horizon: Revision,
     records: IndexMap<Bytes, (Revision, Bytes)>,
     removed: IndexMap<Bytes, Revision>,
-    blind: VecDeque<Blind>,
+    unobserved: VecDeque<UnobservedSpan>,
 }
 
-/// `Blind` is a span of revisions that was passed in one step: what came and went between its ends
-/// was never seen here. One whose copy is of a revision between them may hold such a record.
+/// `UnobservedSpan` is a span of revisions that the copy passed in one step, so that records
+/// created and removed between its ends were never seen here. A peer whose copy is at a revision
+/// within the span may hold such a record.
 #[derive(Clone, Copy, Debug)]
-struct Blind {
+struct UnobservedSpan {
     after: Revision,
     before: Revision,
 }
 
-impl Blind {
-    fn holds(&self, revision: Revision) -> bool {
+impl UnobservedSpan {
+    fn contains(&self, revision: Revision) -> bool {
         self.after < revision && revision < self.before
     }
 }
 
 impl Mirror {
-    /// Gets the revision of the newest read.
+    /// Returns the revision of the copy.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Takes a read of the registry in; returns the records that it changes. One that is older than
-    /// the copy changes nothing: a whole read may overtake another.
+    /// Applies a read of the registry; returns the records that it changes. A read that is older
+    /// than the copy changes nothing, as complete reads may overtake each other.
     pub fn apply(&mut self, delta: Delta) -> Vec<Record> {
         if delta.revision < self.revision {
             return Vec::new();
         }
         if delta.whole {
-            self.pass(delta.revision);
+            self.skip_to(delta.revision);
         }
-        self.take(delta)
+        self.apply_records(delta)
     }
 
-    /// Takes a peer's delta in, as [`Mirror::apply`] does. The peer may not know what came and went.
+    /// Applies a peer's delta, as [`Mirror::apply`] does. The peer may not know of records that
+    /// were created and removed in between.
     pub fn apply_from_peer(&mut self, delta: Delta) -> Vec<Record> {
         if delta.revision < self.revision {
             return Vec::new();
         }
-        self.pass(delta.revision);
-        self.take(delta)
+        self.skip_to(delta.revision);
+        self.apply_records(delta)
     }
 
-    /// Notes that the copy goes to `revision` in one step.
+    /// Notes that the copy passes to `revision` in one step.
     ///
-    /// Without this, routers that had started a moment earlier than the peer that they copied from
-    /// were never told of an endpoint that was removed between the two first reads, and sent it
-    /// requests until it was gone, under a fresh proof of age.
-    fn pass(&mut self, revision: Revision) {
-        let span = Blind {
+    /// Otherwise, a router that had started a moment before the peer it copies from would never be
+    /// told of an endpoint that was removed between the first reads of the two. It would send that
+    /// endpoint requests after it had left, with a fresh proof of age.
+    fn skip_to(&mut self, revision: Revision) {
+        let span = UnobservedSpan {
             after: self.revision,
             before: revision,
         };
         if span.after.0.saturating_add(1) >= span.before.0 {
             return;
         }
-        self.blind.push_back(span);
-        if self.blind.len() > MAX_BLIND
-            && let Some(oldest) = self.blind.pop_front()
+        self.unobserved.push_back(span);
+        if self.unobserved.len() > MAX_UNOBSERVED_SPANS
+            && let Some(oldest) = self.unobserved.pop_front()
         {
             self.horizon = self.horizon.max(oldest.before);
         }
     }
 
-    fn take(&mut self, delta: Delta) -> Vec<Record> {
+    fn apply_records(&mut self, delta: Delta) -> Vec<Record> {
         let mut changed = Vec::new();
         if delta.whole {
             let kept: indexmap::IndexSet<&Bytes> = delta.records.iter().map(|r| &r.key).collect();
@@ -144,11 +147,11 @@
         changed
     }
 
-    /// Gets what has changed since `revision`.
+    /// Returns the changes since `revision`.
     pub fn since(&self, revision: Revision) -> Delta {
-        let blind = self.blind.iter().any(|span| span.holds(revision));
+        let unobserved = self.unobserved.iter().any(|span| span.contains(revision));
         let outside = revision < self.horizon || revision > self.revision;
-        let whole = blind || outside || revision == Revision(0);
+        let whole = unobserved || outside || revision == Revision(0);
         let newer = |at: Revision| whole || at > revision;
         let records = self.records.iter().filter(|(_, (at, _))| newer(*at));
         let records = records.map(|(key, (at, value))| Record {
@@ -183,18 +186,22 @@
         });
     }
 
-    /// Takes a record out. The removal is remembered also where the record is not known: pages of a
-    /// whole read may have missed it already, and one whose copy is of that time has it.
+    /// Removes a record. The removal is remembered even if the record is unknown: the pages of a
+    /// complete read may have been fetched after the removal, and a peer whose copy is older still
+    /// has the record.
     fn remove(&mut self, key: Bytes, at: Revision, changed: &mut Vec<Record>) {
         let held = self.records.get(&key).map(|(held, _)| *held);
-        let told = self.removed.get(&key).is_some_and(|told| *told >= at);
-        if told || held.is_some_and(|held| held >= at) {
+        let already_removed = self
+            .removed
+            .get(&key)
+            .is_some_and(|removed_at| *removed_at >= at);
+        if already_removed || held.is_some_and(|held| held >= at) {
             return;
         }
         self.records.swap_remove(&key);
         self.removed.shift_remove(&key);
         self.removed.insert(key.clone(), at);
-        if self.removed.len() > MAX_REMOVED
+        if self.removed.len() > MAX_REMEMBERED_REMOVALS
             && let Some((_, oldest)) = self.removed.shift_remove_index(0)
         {
             self.horizon = self.horizon.max(oldest);
--- a/crates/core/src/gateway/place.rs
+++ b/crates/core/src/gateway/place.rs
@@ -143,7 +143,7 @@
         all.iter()
             .filter(|(k, e)| fresh(k) && context.is_confirmed(e) && e.own < context.share),
     );
-    let candidates = without_unadmitted_cold(context, ticket, candidates);
+    let candidates = exclude_unadmitted_cold(context, ticket, candidates);
     let unpaused: Vec<_> = candidates
         .iter()
         .filter(|(_, e)| !e.paused(context.now))
@@ -168,7 +168,7 @@
 
 /// Leaves out the cold endpoints that this router may not send to. Where all endpoints are cold, a
 /// part of the free quota is reserved for more urgent requests and other workspaces.
-fn without_unadmitted_cold<'a>(
+fn exclude_unadmitted_cold<'a>(
     context: &PlacementContext<'_>,
     ticket: &Ticket,
     mut candidates: Vec<(EndpointKey, &'a Endpoint)>,
--- a/crates/core/src/gateway/proof.rs
+++ b/crates/core/src/gateway/proof.rs
@@ -1,10 +1,10 @@
-//! How old what this router acts on may be.
+//! Bounds on the age of the state that a router acts on.
 //!
-//! A key that was taken away may still be in the configuration that a router holds, and an endpoint
-//! that has left among its entries. The router can't notice this when it is cut off, was suspended,
-//! can't read as fast as the registry grows, or reads from one that lags. So it acts only while it can
-//! prove that what it holds was the newest state not long ago, and for each kind of knowledge only for
-//! as long as is promised of that kind.
+//! A revoked key may still be in the configuration that a router holds, and an endpoint that has
+//! left may still be among its entries. The router cannot notice this when it is cut off, was
+//! suspended, cannot read as fast as the registry changes, or reads from a replica that lags. So it
+//! acts on its state only while it can prove that this was the newest state not long ago; how long
+//! ago is bounded for each kind of state.
 
 use crate::{
     gateway::settings::Bounds,
@@ -14,10 +14,10 @@
     },
 };
 
-/// `FreshnessProof` is the sending time of the newest read that was answered with the newest state.
+/// `FreshnessProof` is the sending time of the newest read that returned the newest state.
 ///
-/// The time of sending counts, not that of the answer: a change that was acknowledged while the
-/// answer was on its way is not in it. Times are of a clock that counts suspension.
+/// The time of sending counts, not that of the answer: the answer does not contain a change that
+/// was acknowledged while it was on its way. The clock must count suspensions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FreshnessProof {
     read: Option<Time>,
@@ -26,31 +26,32 @@
 }
 
 impl FreshnessProof {
-    /// Notes a read.
+    /// Records a read that was sent at `sent`.
     pub fn renew(&mut self, sent: Time) {
         self.read = self.read.max(Some(sent));
     }
 
-    /// Notes that a call that was sent at `sent` told of something newer, which isn't read yet.
+    /// Records that the answer to a call sent at `sent` announced something newer, which has not
+    /// been read yet.
     pub fn outdated(&mut self, sent: Time) {
         self.newer = self.newer.max(Some(sent));
     }
 
-    /// Gets when what is known was last the newest state; `None` before the first read.
+    /// Returns when the held state was last proven to be the newest; `None` before the first read.
     pub fn read(&self) -> Option<Time> {
         self.read
     }
 
-    /// Gets the sending time of the newest call that the registry is known to have answered.
+    /// Returns the sending time of the newest call that the registry is known to have answered.
     pub fn answered(&self) -> Option<Time> {
         self.read.max(self.newer)
     }
 
-    /// Tells whether keys and routes may be acted on.
+    /// Tells whether the router may act on keys and routes.
     ///
-    /// While the registry is away nothing new is published, and the bound of keys alone counts. A router
-    /// that hears from the registry that there is something newer, and doesn't get it, must keep the
-    /// promise of new configurations: their bound is shorter.
+    /// While the registry is unavailable nothing new is published, so only the bound of keys
+    /// applies. A router that hears from the registry that there is something newer, and does not
+    /// get it, must keep the shorter bound for new configurations.
     pub fn covers_routes(&self, now: Time, bounds: &Bounds) -> bool {
         let outdated = self.newer > self.read;
         let bound = if outdated {
@@ -63,17 +64,18 @@
 
     /// Tells whether it is known which data centres are evacuated.
     ///
-    /// An endpoint's own answers are no evidence: it serves on in an evacuated data centre.
+    /// Answers of endpoints prove nothing here: an endpoint goes on serving in an evacuated data
+    /// centre.
     pub fn covers_evacuations(&self, now: Time, bounds: &Bounds) -> bool {
         bounds.evacuation.is_none_or(|bound| self.holds(now, bound))
     }
 
-    /// Gets the age of what is known; `None` before the first read.
+    /// Returns the age of the held state; `None` before the first read.
     pub fn age(&self, now: Time) -> Option<Millis> {
         self.read.map(|read| now.since(read))
     }
 
-    /// Tells whether what is known is younger than `bound`.
+    /// Tells whether the held state is younger than `bound`.
     pub fn holds(&self, now: Time, bound: Millis) -> bool {
         self.age(now).is_some_and(|age| age < bound)
     }
--- a/crates/core/src/gateway/reading.rs
+++ b/crates/core/src/gateway/reading.rs
@@ -1,17 +1,21 @@
-//! When a router reads the registry itself, and how long a read may take.
+//! Scheduling of a router's reads of the registry: when it reads itself, and how long a read may
+//! take.
 //!
-//! Calls to a registry are dear in a large fleet, so one router of a data centre reads it and the others
-//! follow a peer. Each decides by itself, from the age of what it can prove:
+//! Calls to a registry are expensive in a large fleet, so few routers of a data centre read it and
+//! the others follow a peer. Each decides by itself, from the age of its freshness proof:
 //!
-//! - Those that read in calm times begin a read whenever their proof is as old as the time between reads.
-//! - Standbys read when the proof is older than a peer that works would let it grow. They are few, by rank, as
-//!   most outages are those of the registry itself, where the calls of all would gain nothing.
-//! - A router that no peer answers reads for itself, and so does any that has had nothing for so long that it would
-//!   break a promise.
+//! - Readers, which read in normal operation, begin a read whenever their proof is as old as the
+//!   read interval.
+//! - Standbys read when the proof is older than it gets with a working peer. They are few, by rank,
+//!   because most outages are those of the registry itself, and calls of all routers would gain
+//!   nothing then.
+//! - A router whose peers do not answer reads for itself. So does any router whose proof gets so
+//!   old that it would soon exceed a promised bound.
 //!
-//! A registry that is slow still proves what it answers, as of the sending. So a read has as long as its answer
-//! could prove something, and the next one begins before that on another connection: an answer that was lost
-//! delays the proof by a part of the time between reads alone, and slow answers overlap.
+//! A slow registry still proves what it answers, as of the sending of the call. So a read may wait
+//! for as long as its answer could prove something, and the next one begins before that on another
+//! connection: a lost answer delays the proof only by a part of the read interval, and slow answers
+//! overlap.
 
 use indexmap::IndexMap;
 
@@ -20,99 +24,103 @@
     Time, //
 };
 
-/// Reads without an answer at the same time. An answer takes several times the pace at most, or it proves
-/// nothing any more.
-const MAX_OPEN: usize = 6;
-/// Part of the time between reads after which a read without an answer is doubled, where answers usually come
-/// at once.
-const HEDGE_PART: u64 = 4;
-/// Times the usual time of an answer after which one that is missing may be lost.
-const HEDGE_ANSWERS: u64 = 2;
-/// Part of the time between reads from which on an answer's time is long: what follows from the first call of a
-/// read is then asked for at the same time.
-const SLOW_PART: u64 = 2;
-/// Halves of the time between reads at which what is proved is older than a peer that works lets it grow. Two reads
-/// and a half fit into the time in which a change is promised to be in force; what standbys read must get round in
-/// what is left of it.
-const LATE_HALVES: u64 = 3;
-/// Times the readers that read then, with the first standbys.
+/// Limit of the unanswered reads at the same time. An answer takes at most a few read intervals, or
+/// it proves nothing any more.
+const MAX_OPEN_READS: usize = 6;
+/// Divisor of the read interval that gives the time after which an unanswered read is duplicated,
+/// where answers usually come at once.
+const HEDGE_INTERVAL_DIVISOR: u64 = 4;
+/// Multiple of the usual answer latency after which a missing answer may be lost.
+const HEDGE_LATENCY_FACTOR: u64 = 2;
+/// Divisor of the read interval that gives the answer latency from which the registry counts as
+/// slow. The calls that otherwise follow the first call of a read are then made at the same time as
+/// it.
+const SLOW_ANSWER_DIVISOR: u64 = 2;
+/// Number of half read intervals after which a proof is older than it gets with a working peer. Two
+/// and a half reads fit into the time within which a change must be in force; the rest of that time
+/// is needed to pass on what standbys read.
+const LATE_HALF_INTERVALS: u64 = 3;
+/// Routers that read once the proof is late, including the first standbys, as a multiple of the
+/// readers.
 const FIRST_STANDBYS: usize = 2;
-/// Times the readers that read at most, with all standbys.
+/// Routers that read at most, including all standbys, as a multiple of the readers.
 pub(super) const ALL_STANDBYS: usize = 4;
-/// Part of the time between reads by which the last standbys are later than the first.
-const STANDBY_STEP_PART: u64 = 4;
-/// Quarters of the time between reads after which a router reads by itself whatever its rank. Nobody has handed
-/// anything on to it, though it may reach the registry: without this, it would act on routes that have been replaced for
-/// longer than is promised. What is left of the promise is for its own read.
-const LAST_QUARTERS: u64 = 11;
-/// Part of the time between reads for which what is proved is young enough where a peer has something newer that
-/// it doesn't hand on.
-const OWED_PART: u64 = 2;
-/// Asks in a row without an answer of a peer after which a router reads for itself: it is cut off from its peers,
-/// and may not be from the registry.
-const ALONE: u32 = 2;
-/// Longest patience for an answer, however long it would prove something.
-const MAX_PATIENCE: Millis = Millis(10_000);
-/// Shortest pause after a read that failed; it doubles.
-const AGAIN: Millis = Millis(150);
-/// Longest pause between reads that fail, of a router that reads for others.
-const READER_PAUSE: Millis = Millis(300);
-/// The same of one that can't ask peers, as it knows no configuration yet. After a loss of all routers all
-/// of them are in this state, and an outage would meet the calls of each.
-const START_PAUSE: Millis = Millis(600);
-/// The same of a standby.
-const STANDBY_PAUSE: Millis = Millis(2400);
-/// Longest time until the decision is looked at again.
-const LOOK: Millis = Millis(500);
+/// Divisor of the read interval that gives the delay of the last standbys after the first.
+const STANDBY_DELAY_DIVISOR: u64 = 4;
+/// Number of quarter read intervals after which a router reads itself whatever its rank. No peer
+/// has passed anything on to it, though it may reach the registry; otherwise it would act on
+/// replaced routes for longer than promised. The rest of the promised time is for its own read.
+const LAST_RESORT_QUARTER_INTERVALS: u64 = 11;
+/// Divisor of the read interval that gives the proof age from which a router reads itself if a peer
+/// has something newer that it does not pass on.
+const WITHHELD_UPDATE_DIVISOR: u64 = 2;
+/// Consecutive requests to peers without an answer after which a router reads for itself: it is cut
+/// off from its peers, but perhaps not from the registry.
+const ISOLATION_THRESHOLD: u32 = 2;
+/// Upper limit of the time that a read waits for an answer, even if the answer would prove
+/// something later.
+const MAX_ANSWER_TIMEOUT: Millis = Millis(10_000);
+/// Minimum pause after a failed read; it doubles with each further failure.
+const MIN_RETRY_PAUSE: Millis = Millis(150);
+/// Maximum pause between failing reads of a reader.
+const MAX_READER_PAUSE: Millis = Millis(300);
+/// Maximum pause between failing reads of a router that cannot ask peers because it has no
+/// configuration yet. After a loss of all routers all of them are in this state, and the registry
+/// would receive the calls of each during an outage.
+const MAX_NEWCOMER_PAUSE: Millis = Millis(600);
+/// Maximum pause between failing reads of a standby.
+const MAX_STANDBY_PAUSE: Millis = Millis(2400);
+/// Maximum time until the decision is made again.
+const MAX_DECISION_INTERVAL: Millis = Millis(500);
 
 /// `ReadTiming` is how often the registry is read, and how long an answer proves something.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadTiming {
     /// Time between reads.
     pub interval: Millis,
-    /// Time after its sending for which a read's answer proves something.
+    /// Time from the sending of a read within which its answer proves something.
     pub validity: Millis,
 }
 
-/// `ReadContext` is where a router stands among those that may read.
+/// `ReadContext` is the state of a router on which its reads depend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadContext {
-    /// Whether a configuration is known; peers can't be asked without one.
+    /// Whether it has a configuration; without one it cannot ask peers.
     pub has_configuration: bool,
-    /// Routers of its data centre that come before it.
+    /// Number of routers of its data centre that come before it as readers.
     pub rank: usize,
-    /// Routers of its data centre that read in calm times.
+    /// Number of routers of its data centre that read in normal operation.
     pub readers: usize,
-    /// Age of what it can prove; `None` before the first read.
+    /// Age of its freshness proof; `None` before the first read.
     pub age: Option<Millis>,
 }
 
-/// `Role` is the part that a router has in reading.
+/// `Role` is the part that a router has in reading the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Role {
-    /// It knows no configuration yet.
+    /// It has no configuration yet.
     Newcomer,
     /// It reads for its data centre.
     Reader,
-    /// It follows a peer, and reads only where that has nothing newer.
+    /// It follows a peer, and reads only where the peer has nothing newer.
     Standby,
 }
 
 impl ReadTiming {
-    /// Gets the age from which on what is proved is older than a peer that works lets it grow.
+    /// Returns the age from which a proof is older than it gets with a working peer.
     pub const fn late(&self) -> Millis {
-        Millis(self.interval.0 * LATE_HALVES / 2)
+        Millis(self.interval.0 * LATE_HALF_INTERVALS / 2)
     }
 }
 
 impl ReadContext {
-    /// Tells whether it reads in calm times.
+    /// Tells whether the router reads in normal operation.
     pub const fn reads(&self) -> bool {
         self.rank < self.readers
     }
 
-    /// Gets its role.
+    /// Returns the router's role.
     pub const fn role(&self) -> Role {
         match (self.has_configuration, self.reads()) {
             (false, _) => Role::Newcomer,
@@ -122,192 +130,202 @@
     }
 }
 
-/// `ReadId` is that of a read.
+/// `ReadId` identifies a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ReadId(u64);
 
-/// `ReadScheduler` is the reads of one router.
+/// `ReadScheduler` decides when a router reads the registry, and keeps track of its reads.
 #[derive(Debug, Default)]
 pub struct ReadScheduler {
-    open: IndexMap<ReadId, Open>,
-    last: u64,
+    open: IndexMap<ReadId, OpenRead>,
+    last_id: u64,
     /// When the newest read began.
     began: Time,
-    /// Time that the first answer of the newest read took that had one.
-    answer: Option<Millis>,
-    /// Reads that failed in a row.
+    /// Answer latency of the newest read that was answered.
+    answer_latency: Option<Millis>,
+    /// Consecutive reads that failed.
     failures: u32,
-    /// No read begins before, as the last one failed.
-    again: Time,
-    /// Asks in a row that no peer answered.
+    /// Earliest time of the next read after a failure.
+    not_before: Time,
+    /// Consecutive requests that no peer answered.
     unanswered: u32,
-    /// Whether a peer has something newer that is too large to be handed on.
+    /// Whether a peer has something newer that is too large to be passed on.
     peer_withheld_update: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Open {
+struct OpenRead {
     began: Time,
-    /// Whether an answer to it has begun to come.
+    /// Whether its answer has begun to arrive.
     answered: bool,
 }
 
 impl ReadScheduler {
-    /// Gets when the next read is to begin, as far as can be told now; not later than that it should be asked
-    /// again.
-    pub fn due(&self, now: Time, standing: &ReadContext, pace: &ReadTiming) -> Time {
-        let later = now + LOOK;
-        // Another read would take half of the link from one whose bytes come.
-        let comes = self.open.values().any(|open| open.answered);
-        if comes || self.open.len() >= MAX_OPEN {
+    /// Returns when the next read is to begin, as far as it can be told now; no later than the time
+    /// at which this must be asked again.
+    pub fn due(&self, now: Time, context: &ReadContext, timing: &ReadTiming) -> Time {
+        let later = now + MAX_DECISION_INTERVAL;
+        // Another read would take half of the link's bandwidth from a read whose answer is
+        // arriving.
+        let answer_arriving = self.open.values().any(|open| open.answered);
+        if answer_arriving || self.open.len() >= MAX_OPEN_READS {
             return later;
         }
-        let wanted = self.wanted(now, standing, pace);
+        let needed_at = self.needed_at(now, context, timing);
         let hedge = match self.open.len() {
             0 => Time(0),
-            open => self.began + self.gap(open, pace),
+            open => self.began + self.hedge_delay(open, timing),
         };
-        wanted.max(hedge).max(self.again).min(later)
+        needed_at.max(hedge).max(self.not_before).min(later)
     }
 
-    /// Gets when what is proved will be old enough for an own read.
-    fn wanted(&self, now: Time, standing: &ReadContext, pace: &ReadTiming) -> Time {
-        let Some(age) = standing.age else {
+    /// Returns when the proof will be old enough for this router to read itself.
+    fn needed_at(&self, now: Time, context: &ReadContext, timing: &ReadTiming) -> Time {
+        let Some(age) = context.age else {
             return now;
         };
         let proved = now - age;
-        let interval = pace.interval;
-        let late = pace.late();
+        let interval = timing.interval;
+        let late = timing.late();
         if self.peer_withheld_update {
-            return proved + Millis(interval.0 / OWED_PART);
+            return proved + Millis(interval.0 / WITHHELD_UPDATE_DIVISOR);
         }
-        if !standing.has_configuration {
+        if !context.has_configuration {
             return self.began + interval;
         }
-        let alone = self.unanswered >= ALONE;
-        let rank = standing.rank;
-        let wait = if standing.reads() {
+        let isolated = self.unanswered >= ISOLATION_THRESHOLD;
+        let rank = context.rank;
+        let wait = if context.reads() {
             interval
-        } else if alone || rank < standing.readers * FIRST_STANDBYS {
+        } else if isolated || rank < context.readers * FIRST_STANDBYS {
             late
-        } else if rank < standing.readers * ALL_STANDBYS {
-            late + Millis(interval.0 / STANDBY_STEP_PART)
+        } else if rank < context.readers * ALL_STANDBYS {
+            late + Millis(interval.0 / STANDBY_DELAY_DIVISOR)
         } else {
-            Millis(interval.0 * LAST_QUARTERS / 4)
+            Millis(interval.0 * LAST_RESORT_QUARTER_INTERVALS / 4)
         };
         proved + wait
     }
 
-    /// Gets the time from the beginning of the newest of `open` reads without an answer to the next one.
-    fn gap(&self, open: usize, pace: &ReadTiming) -> Millis {
-        let interval = pace.interval.0;
-        let usual_latency = self.answer.map_or(interval, |answer| {
-            (answer.0 * HEDGE_ANSWERS).max(interval / HEDGE_PART)
+    /// Returns the time from the beginning of the newest of `open` unanswered reads to the next
+    /// read.
+    fn hedge_delay(&self, open: usize, timing: &ReadTiming) -> Millis {
+        let interval = timing.interval.0;
+        let first_delay = self.answer_latency.map_or(interval, |answer_latency| {
+            (answer_latency.0 * HEDGE_LATENCY_FACTOR).max(interval / HEDGE_INTERVAL_DIVISOR)
         });
         let doublings = u32::try_from(open - 1).unwrap_or(u32::MAX).min(16);
-        // Where answers take nearly as long as they prove something, reads follow closer on each other.
+        // Where answers take nearly as long as they prove something, reads follow more closely on
+        // each other.
         let long = self
-            .answer
-            .is_some_and(|a| a + pace.interval > pace.validity);
-        let most = if long { interval / SLOW_PART } else { interval };
-        Millis((usual_latency << doublings).min(most))
+            .answer_latency
+            .is_some_and(|a| a + timing.interval > timing.validity);
+        let most = if long {
+            interval / SLOW_ANSWER_DIVISOR
+        } else {
+            interval
+        };
+        Millis((first_delay << doublings).min(most))
     }
 
     /// Begins a read.
     pub fn begin(&mut self, now: Time) -> ReadId {
-        self.last += 1;
+        self.last_id += 1;
         self.began = now;
         self.peer_withheld_update = false;
-        let number = ReadId(self.last);
-        let open = Open {
+        let id = ReadId(self.last_id);
+        let open = OpenRead {
             began: now,
             answered: false,
         };
-        self.open.insert(number, open);
-        number
+        self.open.insert(id, open);
+        id
     }
 
-    /// Tells whether the calls of a read that begins now are to be made at the same time: answers take so long, or
-    /// seem to, that one after the other they would prove too little.
-    pub fn calls_in_parallel(&self, now: Time, pace: &ReadTiming) -> bool {
-        let slow = Millis(pace.interval.0 / SLOW_PART);
-        let late = Millis(pace.interval.0 / HEDGE_PART);
-        let waits = |open: &Open| !open.answered && now.since(open.began) >= late;
-        self.answer.is_some_and(|answer| answer >= slow) || self.open.values().any(waits)
+    /// Tells whether the calls of a read that begins now are to be made at the same time, because
+    /// answers are so slow, or seem to be, that sequential calls would prove too little.
+    pub fn calls_in_parallel(&self, now: Time, timing: &ReadTiming) -> bool {
+        let slow = Millis(timing.interval.0 / SLOW_ANSWER_DIVISOR);
+        let late = Millis(timing.interval.0 / HEDGE_INTERVAL_DIVISOR);
+        let waits_long = |open: &OpenRead| !open.answered && now.since(open.began) >= late;
+        self.answer_latency
+            .is_some_and(|answer_latency| answer_latency >= slow)
+            || self.open.values().any(waits_long)
     }
 
-    /// Gets how long a read may wait for an answer: as long as that could prove something.
-    pub fn answer_timeout(pace: &ReadTiming) -> Millis {
-        pace.validity.min(MAX_PATIENCE)
+    /// Returns how long a read may wait for an answer: as long as the answer could prove something.
+    pub fn answer_timeout(timing: &ReadTiming) -> Millis {
+        timing.validity.min(MAX_ANSWER_TIMEOUT)
     }
 
-    /// Gets the time that an answer takes now; zero where none has come yet.
+    /// Returns the present answer latency; zero before the first answer.
     pub fn usual_latency(&self) -> Millis {
-        self.answer.unwrap_or_default()
+        self.answer_latency.unwrap_or_default()
     }
 
-    /// Notes that an answer to a read has begun to come.
-    pub fn answer_started(&mut self, now: Time, number: ReadId) {
-        if let Some(open) = self.open.get_mut(&number)
+    /// Records that the answer to a read has begun to arrive.
+    pub fn answer_started(&mut self, now: Time, id: ReadId) {
+        if let Some(open) = self.open.get_mut(&id)
             && !open.answered
         {
             open.answered = true;
-            self.answer = Some(now.since(open.began));
+            self.answer_latency = Some(now.since(open.began));
         }
     }
 
-    /// Notes that a read is whole; lists those that began before it, whose answers are lost or prove no more.
-    pub fn whole(&mut self, number: ReadId) -> Vec<ReadId> {
+    /// Records that a read is complete; returns the reads that began before it, whose answers are
+    /// lost or prove nothing newer.
+    pub fn whole(&mut self, id: ReadId) -> Vec<ReadId> {
         self.failures = 0;
         self.peer_withheld_update = false;
-        self.again = Time(0);
-        let Some(ended) = self.open.swap_remove(&number) else {
+        self.not_before = Time(0);
+        let Some(ended) = self.open.swap_remove(&id) else {
             return Vec::new();
         };
         let older = self.open.iter().filter(|(_, o)| o.began <= ended.began);
-        let older: Vec<ReadId> = older.map(|(number, _)| *number).collect();
-        for number in &older {
-            self.open.swap_remove(number);
+        let older: Vec<ReadId> = older.map(|(id, _)| *id).collect();
+        for id in &older {
+            self.open.swap_remove(id);
         }
         older
     }
 
-    /// Notes that a read failed; gets how many in a row did. The pause until the next is spread by `draw`, so
-    /// that routers that failed together don't call together.
+    /// Records that a read failed; returns the number of consecutive failures. The pause until the
+    /// next read is spread by `draw`, so that routers that failed together do not call together.
     ///
-    /// One that a later read has made needless counts for nothing.
-    pub fn failed(&mut self, now: Time, number: ReadId, standing: &ReadContext, draw: u64) -> u32 {
-        if self.open.swap_remove(&number).is_none() {
+    /// A read that a later one has made unnecessary does not count.
+    pub fn failed(&mut self, now: Time, id: ReadId, context: &ReadContext, draw: u64) -> u32 {
+        if self.open.swap_remove(&id).is_none() {
             return self.failures;
         }
         self.failures = self.failures.saturating_add(1);
-        let most = match standing.role() {
-            Role::Newcomer => START_PAUSE,
-            Role::Reader => READER_PAUSE,
-            Role::Standby => STANDBY_PAUSE,
+        let most = match context.role() {
+            Role::Newcomer => MAX_NEWCOMER_PAUSE,
+            Role::Reader => MAX_READER_PAUSE,
+            Role::Standby => MAX_STANDBY_PAUSE,
         };
-        let doubled = Millis(AGAIN.0 << self.failures.min(8));
+        let doubled = Millis(MIN_RETRY_PAUSE.0 << self.failures.min(8));
         let pause = doubled.min(most).0;
-        self.again = now + Millis(pause / 2 + draw % (pause / 2 + 1));
+        self.not_before = now + Millis(pause / 2 + draw % (pause / 2 + 1));
         self.failures
     }
 
-    /// Counts the reads that failed in a row.
+    /// Returns the number of consecutive failed reads.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Notes that a peer answered an ask, if only that it has nothing newer.
+    /// Records that a peer answered a request, even if only that it has nothing newer.
     pub fn peer_answered(&mut self) {
         self.unanswered = 0;
     }
 
-    /// Notes that a peer did not answer an ask.
+    /// Records that a peer did not answer a request.
     pub fn peer_silent(&mut self) {
         self.unanswered = self.unanswered.saturating_add(1);
     }
 
-    /// Notes that a peer has something newer that it doesn't hand on.
+    /// Records that a peer has something newer that it does not pass on.
     pub fn peer_withheld_update(&mut self) {
         self.peer_withheld_update = true;
     }
--- a/crates/core/src/gateway/stop.rs
+++ b/crates/core/src/gateway/stop.rs
@@ -1,4 +1,4 @@
-//! How a router stops: what it still takes, so that nothing is cut.
+//! Which requests a stopping router still accepts, so that no answer is cut off.
 
 use crate::{
     gateway::{
@@ -11,34 +11,40 @@
     },
 };
 
-/// `StopDeadline` is when a router that stops ends.
+/// `StopDeadline` is when a stopping router ends.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StopDeadline {
     at: Time,
-    /// Longest limit of a route that counts: that of the whole stop, then any.
-    covers: Millis,
+    /// Only routes whose time limit is at most this are held to the deadline: first the length of
+    /// the whole stop, after `Gateway::close` any limit.
+    max_route_limit: Millis,
 }
 
 impl Gateway {
-    /// Notes that this router stops and ends at `end`. From now on it takes no request that may last
-    /// longer: its answer would be cut, though a router that stays could have given it. Routes whose
-    /// limit is longer than the whole stop are the exception until [`Gateway::close`], as callers
-    /// still come for some time and most answers take a small part of such a limit.
+    /// Records that this router stops and ends at `end`. From now on it accepts no request that may
+    /// last longer: its answer would be cut off, though a router that stays could have completed
+    /// it. Routes whose time limit is longer than the whole stop are excepted until
+    /// [`Gateway::close`], because callers still arrive for some time and most answers take a small
+    /// part of such a limit.
     pub fn end_at(&mut self, now: Time, end: Time) {
-        let covers = end.since(now);
-        self.end = Some(StopDeadline { at: end, covers });
+        let max_route_limit = end.since(now);
+        self.end = Some(StopDeadline {
+            at: end,
+            max_route_limit,
+        });
     }
 
-    /// Notes that callers go to other routers by now: nothing is taken that may be cut.
+    /// Records that callers now go to other routers: no request that may be cut off is accepted any
+    /// more.
     pub fn close(&mut self) {
         if let Some(end) = &mut self.end {
-            end.covers = Millis(u64::MAX);
+            end.max_route_limit = Millis(u64::MAX);
         }
     }
 
-    /// Tells whether a request of a route that may last until `until` would be cut by the stop.
+    /// Tells whether a request of a route that may last until `until` would be cut off by the stop.
     pub(super) fn outlasts_stop(&self, route: &Route, until: Time) -> bool {
         self.end
-            .is_some_and(|end| until > end.at && route.limit <= end.covers)
+            .is_some_and(|end| until > end.at && route.limit <= end.max_route_limit)
     }
 }
--- a/crates/core/src/gateway/warmup.rs
+++ b/crates/core/src/gateway/warmup.rs
@@ -1,15 +1,20 @@
-//! How many requests an endpoint gets while it warms up.
+//! Limits on the requests that an endpoint gets while it warms up.
 //!
-//! - **Bounded** is the number of requests that all routers together send to one endpoint within a second while it is
-//!   cold: first tries, repeats, resumed streams and probes alike. Well above it, the endpoint crashes.
-//! - **Counted** by its owners, the few routers that come first for it by rendezvous hashing over the fleet. Each has a
-//!   fixed part of the bound; the others send it nothing. No router needs to know what another one has sent.
-//! - **A router that hears nobody** keeps to its part in the fleet that it remembers. One that has started lately and
-//!   still hears of others for the first time, or has never heard of another, owns nothing.
-//! - **Proof**: the parts of all owners add up to the bound divided by [`MAX_OWNER_SETS`], so that the bound holds also where
-//!   routers disagree and an endpoint has that many times its owners. On either side of a cut the owners are among those
-//!   that come first of that side, whether they remember the other side or not. `tests/gateway/warmup.rs` holds it over
-//!   random histories of cuts, restarts and pauses.
+//! - **Bound**: the number of requests that all routers together may send to one endpoint per
+//!   second while it is cold: first attempts, retries, resumed streams and probes alike. Well above
+//!   it, the endpoint crashes.
+//! - **Owners**: the few routers that rendezvous hashing over the fleet ranks first for the
+//!   endpoint. Each owner has a fixed quota, its share of the bound; the other routers send the
+//!   endpoint nothing. No router needs to know what another one has sent.
+//! - **Isolated routers**: a router that hears of no other keeps to its quota in the fleet that it
+//!   remembers. A router that has started recently and still discovers others, or that expects
+//!   others and has never heard of one, owns nothing.
+//! - **Why the bound holds**: the quotas of all owners add up to the bound divided by
+//!   [`MAX_OWNER_SETS`], so the bound also holds where routers disagree and an endpoint has that
+//!   many sets of owners. On either side of a network partition the owners are among the routers
+//!   that rank first on that side, whether they remember the other side or not.
+//!   `tests/gateway/warmup.rs` checks this over random histories of partitions, restarts and
+//!   pauses.
 
 use std::collections::VecDeque;
 
@@ -25,24 +30,30 @@
     },
 };
 
-/// Time within which a part of the bound may be used once: a second, and what a request may be late on its way.
+/// Time within which each request of a quota may be sent once: a second, and the time that a
+/// request may be delayed on its way.
 const PERIOD: Millis = Millis(1100);
-/// Longest time after its start in which a router owns nothing, as it has not heard of most others yet.
-const SETTLE: Millis = Millis(3000);
-/// Time without another new router after which it has heard of most: each digest brings several.
-const QUIET: Millis = Millis(700);
-/// Times its owners that an endpoint may have while routers disagree on who there is: both sides of a cut.
+/// Maximum time after its start in which a router owns nothing, because it has not heard of most
+/// others yet.
+const MAX_DISCOVERY_TIME: Millis = Millis(3000);
+/// Time without a newly discovered router after which a router has heard of most: each digest names
+/// several.
+const DISCOVERY_QUIET_TIME: Millis = Millis(700);
+/// Number of different owner sets that an endpoint may have while routers disagree on the fleet:
+/// one for each side of a partition.
 pub const MAX_OWNER_SETS: u32 = 2;
-/// Time for which a router that isn't heard of is still counted as an owner. It may be cut off and use its part.
+/// Time for which a router that is no longer heard of still counts as an owner. It may be cut off
+/// and use its quota.
 const MEMBER_TTL: Millis = Millis(600_000);
-/// Most routers that are remembered; beyond it the one that was heard least recently goes.
+/// Limit of the routers that are remembered; beyond it the one that was heard least recently is
+/// evicted.
 const MAX_MEMBERS: usize = 2048;
-/// Where all endpoints of a service are cold, the part of what is free that each step down in rank must leave to the more
-/// urgent, one in so many.
-const RANK_RESERVE: u32 = 8;
-/// Lowest rank that counts for it.
+/// Where all endpoints of a service are cold, each step down in priority must leave one in so many
+/// requests of the quotas to more urgent requests.
+const RANK_RESERVE_DIVISOR: u32 = 8;
+/// Largest number of steps that counts for this reserve.
 const MAX_RANK: u32 = 4;
-/// Most workspaces whose turns are kept within a period; others take none.
+/// Limit of the workspaces whose requests are counted within a period; others are not counted.
 const MAX_WORKSPACES: usize = 256;
 
 /// `Policy` is how the bound follows from the rate that a cold endpoint tolerates.
@@ -50,21 +61,21 @@
 pub struct Policy {
     /// Multiple of the rate.
     pub over: Permille,
-    /// Requests above it.
+    /// Requests in addition to the multiple.
     pub slack: u32,
 }
 
-/// `ColdStart` is what a service publishes of its endpoints' start.
+/// `ColdStart` is what a service publishes of the warm-up of its endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ColdStart {
     /// How long an endpoint is cold.
     pub time: Millis,
-    /// Thousandths of a request a second that it tolerates meanwhile.
+    /// Rate that a cold endpoint tolerates, in thousandths of a request per second.
     pub per_second: Permille,
 }
 
 impl ColdStart {
-    /// Gets the requests that an endpoint may get within a second.
+    /// Returns the number of requests that a cold endpoint may get per second.
     pub fn bound(&self, policy: &Policy) -> u32 {
         let rate = u64::from(self.per_second.0) * u64::from(policy.over.0) / 1_000_000;
         u32::try_from(rate)
@@ -73,14 +84,15 @@
     }
 }
 
-/// `Fleet` is the routers as one of them hears of them, by tags that are spread over all numbers.
+/// `Fleet` is the fleet as one router sees it; routers are named by evenly distributed hashes of
+/// their addresses.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     /// This router.
     pub me: u64,
-    /// The others.
+    /// The other routers.
     pub others: Vec<u64>,
-    /// Whether this router was told of others to begin with.
+    /// Whether this router is configured with other routers.
     pub expected: bool,
 }
 
@@ -91,18 +103,18 @@
     pub key: EndpointKey,
     /// Hash of its name.
     pub seed: u64,
-    /// Requests that it may get within a second.
+    /// Number of requests that it may get per second from all routers.
     pub bound: u32,
 }
 
-/// `Meter` is what this router may send to one endpoint.
+/// `Meter` counts what this router sends to one cold endpoint.
 #[derive(Clone, Debug, Default)]
 struct Meter {
-    /// Requests that the endpoint may get within a second from all routers.
+    /// Number of requests that the endpoint may get per second from all routers.
     bound: u32,
-    /// Requests within [`PERIOD`].
+    /// Number of requests that this router may send within [`PERIOD`].
     quota: u32,
-    /// Times of the newest requests, chosen or sent.
+    /// Times at which the newest requests were placed or sent.
     used: VecDeque<Time>,
 }
 
@@ -114,63 +126,67 @@
     }
 }
 
-/// `Turns` is what workspaces got of cold endpoints within [`PERIOD`], so that none takes all that there is.
+/// `WorkspaceUsage` counts the requests to cold endpoints that workspaces placed within [`PERIOD`],
+/// so that none uses up the quotas alone.
 #[derive(Clone, Debug, Default)]
-struct Turns {
+struct WorkspaceUsage {
     began: Time,
-    /// Requests that were let in, of each workspace that asked.
-    got: IndexMap<u64, u32>,
+    /// Placed requests of each workspace that asked.
+    placed: IndexMap<u64, u32>,
 }
 
-impl Turns {
-    fn ask(&mut self, now: Time, workspace: u64) {
+impl WorkspaceUsage {
+    fn add(&mut self, now: Time, workspace: u64) {
         if now.since(self.began) >= PERIOD {
             self.began = now;
-            self.got.clear();
+            self.placed.clear();
         }
-        if self.got.len() < MAX_WORKSPACES {
-            self.got.entry(workspace).or_default();
+        if self.placed.len() < MAX_WORKSPACES {
+            self.placed.entry(workspace).or_default();
         }
     }
 
-    fn take(&mut self, workspace: u64) {
-        if let Some(got) = self.got.get_mut(&workspace) {
-            *got += 1;
+    fn record_placed(&mut self, workspace: u64) {
+        if let Some(placed) = self.placed.get_mut(&workspace) {
+            *placed += 1;
         }
     }
 
-    /// Tells whether a workspace got more than another one that asks.
-    fn ahead(&self, workspace: u64) -> bool {
-        let least = self.got.values().min().copied().unwrap_or_default();
-        self.got.get(&workspace).is_some_and(|got| *got > least)
+    /// Tells whether a workspace placed more requests than another one that asks.
+    fn is_ahead(&self, workspace: u64) -> bool {
+        let least = self.placed.values().min().copied().unwrap_or_default();
+        self.placed
+            .get(&workspace)
+            .is_some_and(|placed| *placed > least)
     }
 }
 
-/// `Warmup` is this router's part in what cold endpoints get.
+/// `Warmup` holds this router's quotas for cold endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct Warmup {
     /// When this router began to listen to others.
     started: Option<Time>,
-    /// When it last heard of a router that it didn't know.
-    met: Time,
+    /// When it last discovered a router.
+    last_discovery: Time,
     me: u64,
-    /// Whether this router owns its part: it has listened for long enough, and heard others if there are any.
+    /// Whether this router owns its quotas: it has listened for long enough, and heard of others if
+    /// any are expected.
     settled: bool,
     /// Other routers, and when they were last heard.
     members: IndexMap<u64, Time>,
     meters: IndexMap<EndpointKey, Meter>,
-    turns: Turns,
+    usage: WorkspaceUsage,
 }
 
 impl Warmup {
-    /// Follows which routers there are, and divides what the cold endpoints may get.
+    /// Takes over a changed fleet or set of cold endpoints, and computes the quotas again.
     pub fn follow(&mut self, now: Time, fleet: &Fleet, cold: &[ColdEndpoint]) {
         let started = *self.started.get_or_insert(now);
         self.me = fleet.me;
         let mut changed = self.remember(now, &fleet.others);
-        let lonely = self.members.is_empty() && fleet.expected;
-        let quiet = now.since(started.max(self.met)) >= QUIET;
-        let settled = (quiet || now.since(started) >= SETTLE) && !lonely;
+        let isolated = self.members.is_empty() && fleet.expected;
+        let quiet = now.since(started.max(self.last_discovery)) >= DISCOVERY_QUIET_TIME;
+        let settled = (quiet || now.since(started) >= MAX_DISCOVERY_TIME) && !isolated;
         changed |= settled != self.settled;
         self.settled = settled;
         let mut before = std::mem::take(&mut self.meters);
@@ -186,17 +202,17 @@
         }
     }
 
-    /// Notes which routers are heard of; returns whether those that are remembered are others than before.
+    /// Records which routers are heard of; returns whether the set of remembered routers changed.
     fn remember(&mut self, now: Time, heard: &[u64]) -> bool {
         let mut changed = false;
         for other in heard {
             changed |= self.members.insert(*other, now).is_none();
         }
         if changed {
-            self.met = now;
+            self.last_discovery = now;
         }
         let all = self.members.len();
-        // Who hears nobody may be cut off, and the others go on with their parts.
+        // A router that hears of no other may be cut off, while the others still use their quotas.
         if !heard.is_empty() {
             self.members.retain(|_, at| now.since(*at) < MEMBER_TTL);
         }
@@ -210,7 +226,7 @@
         changed || self.members.len() != all
     }
 
-    /// Gets this router's part of an endpoint's bound.
+    /// Returns this router's quota for an endpoint.
     fn quota(&self, endpoint: &ColdEndpoint) -> u32 {
         if !self.settled || endpoint.bound == 0 {
             return 0;
@@ -233,18 +249,19 @@
         meter.is_some_and(|m| m.free(now) > 0)
     }
 
-    /// Tells whether some endpoint is cold.
+    /// Tells whether an endpoint is cold.
     pub fn active(&self) -> bool {
         !self.meters.is_empty()
     }
 
-    /// Notes that a workspace has a request that may have to go to a cold endpoint.
+    /// Records that a workspace has a request that may have to go to a cold endpoint.
     pub fn asked(&mut self, now: Time, workspace: u64) {
-        self.turns.ask(now, workspace);
+        self.usage.add(now, workspace);
     }
 
-    /// Tells whether a request of this rank and workspace may use what is free at these endpoints, all that its service
-    /// has. A workspace that got more than another one that asks counts as one rank lower.
+    /// Tells whether a request of this priority `rank` and workspace may use the free quotas of
+    /// `endpoints`, which are all endpoints of its service. A workspace that placed more requests
+    /// than another one that asks counts as one rank lower.
     pub fn admits_rank(
         &self,
         now: Time,
@@ -252,25 +269,25 @@
         workspace: u64,
         endpoints: impl Iterator<Item = EndpointKey>,
     ) -> bool {
-        let rank = u32::from(rank) + u32::from(self.turns.ahead(workspace));
+        let rank = u32::from(rank) + u32::from(self.usage.is_ahead(workspace));
         let (mut free, mut all) = (0_u32, 0_u32);
         for meter in endpoints.filter_map(|key| self.meters.get(&key)) {
             free = free.saturating_add(meter.free(now));
             all = all.saturating_add(meter.quota);
         }
-        let reserved = all.saturating_mul(rank.min(MAX_RANK)) / RANK_RESERVE;
+        let reserved = all.saturating_mul(rank.min(MAX_RANK)) / RANK_RESERVE_DIVISOR;
         free > reserved
     }
 
-    /// Notes that a cold endpoint was chosen for a request of a workspace.
+    /// Records that a workspace's request was placed on a cold endpoint.
     pub fn chosen(&mut self, now: Time, workspace: u64, endpoint: EndpointKey) {
-        self.turns.take(workspace);
+        self.usage.record_placed(workspace);
         let meter = self.meters.entry(endpoint).or_default();
         meter.used.retain(|at| now.since(*at) < PERIOD);
         meter.used.push_back(now);
     }
 
-    /// Notes that a request that an endpoint was chosen for goes out: it counts from now, as connecting takes time.
+    /// Records that a placed request is sent: it counts from now, because connecting takes time.
     pub fn sent(&mut self, now: Time, endpoint: EndpointKey) {
         if let Some(meter) = self.meters.get_mut(&endpoint)
             && meter.used.pop_front().is_some()
