--- a/crates/core/examples/measure_warmup.rs
+++ b/crates/core/examples/measure_warmup.rs
@@ -128,7 +128,7 @@
             if !free {
                 continue;
             }
-            owners[n].chosen(Time(now), 0, cold.key);
+            owners[n].record_placed(Time(now), 0, cold.key);
             owners[n].sent(Time(now), cold.key);
             turns[n].1 = true;
             sends.push_back((now, n));
--- a/crates/core/src/gateway/attempt.rs
+++ b/crates/core/src/gateway/attempt.rs
@@ -177,8 +177,8 @@
         if let Some(part) = part.filter(|_| first) {
             self.note_request(now, &ticket.service, hot_spots::tag(part.id), ask.work());
         }
-        if self.warmup.active() {
-            self.warmup.asked(now, ticket.workspace_tag());
+        if self.warmup.has_cold_endpoints() {
+            self.warmup.record_waiting(now, ticket.workspace_tag());
         }
         let context = place::PlacementContext {
             share: self.share(&ticket.service),
@@ -206,7 +206,7 @@
         };
         if placed.cold {
             let workspace = ticket.workspace_tag();
-            self.warmup.chosen(now, workspace, placed.endpoint);
+            self.warmup.record_placed(now, workspace, placed.endpoint);
         }
         let shares = self
             .catalog
--- a/crates/core/src/gateway/place.rs
+++ b/crates/core/src/gateway/place.rs
@@ -137,11 +137,11 @@
     prompt: Option<&Prompt>,
 ) -> Option<Placed> {
     let all: Vec<(EndpointKey, &Endpoint)> = context.registry.of(&ticket.service).collect();
-    let fresh = |k: &EndpointKey| !tried(ticket, *k);
+    let untried = |k: &EndpointKey| !tried(ticket, *k);
     let mut candidates: Vec<(EndpointKey, &Endpoint)> = Vec::with_capacity(all.len());
     candidates.extend(
         all.iter()
-            .filter(|(k, e)| fresh(k) && context.is_confirmed(e) && e.own < context.share),
+            .filter(|(k, e)| untried(k) && context.is_confirmed(e) && e.own < context.share),
     );
     let candidates = exclude_unadmitted_cold(context, ticket, candidates);
     let unpaused: Vec<_> = candidates
@@ -244,34 +244,34 @@
     endpoint.load(context.now) as f32 + above.max(0.0) * FAILURE_LOAD
 }
 
-/// Finds the endpoint other than `chosen` that most likely holds prompts with `item`: the first in
+/// Finds the endpoint other than `chosen` that most likely holds prompts with `part_id`: the first in
 /// their order that has been listed for long enough, even if it is leaving. An endpoint that has
 /// just joined has read nothing yet. Where `chosen` itself is the first, the next one may have
 /// replaced it for a while; fetching what is already held costs nothing.
 fn holder(
     context: &PlacementContext<'_>,
     ticket: &Ticket,
-    item: u64,
+    part_id: u64,
     chosen: EndpointKey,
 ) -> Option<EndpointKey> {
     let known = context.registry.known(&ticket.service);
     let settled = known.filter(|(k, e)| {
         *k != chosen && !e.young(context.now) && !e.paused(context.now) && context.allows_fetch(e)
     });
-    let first = settled.max_by_key(|(_, e)| score(item, e.seed));
+    let first = settled.max_by_key(|(_, e)| score(part_id, e.seed));
     first.map(|(key, _)| key)
 }
 
 fn by_affinity(
     context: &PlacementContext<'_>,
     mut candidates: Vec<(EndpointKey, &Endpoint)>,
-    item: u64,
+    part_id: u64,
     mean: ServiceMean,
 ) -> Option<Placed> {
-    candidates.sort_by_key(|(_, e)| std::cmp::Reverse(score(item, e.seed)));
+    candidates.sort_by_key(|(_, e)| std::cmp::Reverse(score(part_id, e.seed)));
     let fits =
         |(_, e): &(EndpointKey, &Endpoint)| cost(context, e, mean) < limit(context, e, mean.load);
-    let hot_pick = pick_for_hot_part(context, &candidates, item, mean);
+    let hot_pick = pick_for_hot_part(context, &candidates, part_id, mean);
     let below = hot_pick
         .filter(|rank| fits(&candidates[*rank]))
         .or_else(|| candidates.iter().position(fits));
@@ -287,20 +287,26 @@
 fn pick_for_hot_part(
     context: &PlacementContext<'_>,
     candidates: &[(EndpointKey, &Endpoint)],
-    item: u64,
+    part_id: u64,
     mean: ServiceMean,
 ) -> Option<usize> {
     let multiple = f64::from(context.bounds.skew.0) / 1000.0;
-    let over = context
-        .hot_spots?
-        .spread(hot_spots::tag(item), candidates.len(), multiple);
-    if over < 2 {
+    let spread_width =
+        context
+            .hot_spots?
+            .spread(hot_spots::tag(part_id), candidates.len(), multiple);
+    if spread_width < 2 {
         return None;
     }
-    let pick = |turn| usize::try_from(score(context.draw, turn) % over as u64).unwrap_or_default();
-    let two = [pick(1), pick(2)];
-    let costs = two.map(|rank| cost(context, candidates[rank].1, mean));
-    Some(if costs[1] < costs[0] { two[1] } else { two[0] })
+    let pick =
+        |turn| usize::try_from(score(context.draw, turn) % spread_width as u64).unwrap_or_default();
+    let pair = [pick(1), pick(2)];
+    let costs = pair.map(|rank| cost(context, candidates[rank].1, mean));
+    Some(if costs[1] < costs[0] {
+        pair[1]
+    } else {
+        pair[0]
+    })
 }
 
 fn by_load(
@@ -320,8 +326,8 @@
 /// Estimates the time until an endpoint answers.
 #[expect(clippy::cast_precision_loss, reason = "loads are small numbers")]
 fn expected_answer_time(context: &PlacementContext<'_>, endpoint: &Endpoint) -> f32 {
-    let failures = 1.0 + endpoint.failing(context.now) * FAILURE_TIME_FACTOR;
-    (endpoint.pace(context.now) + 1.0) * (endpoint.own as f32 + 1.0) * failures
+    let failure_factor = 1.0 + endpoint.failing(context.now) * FAILURE_TIME_FACTOR;
+    (endpoint.pace(context.now) + 1.0) * (endpoint.own as f32 + 1.0) * failure_factor
 }
 
 /// Finds the endpoint with the least cost, a random one among equals.
--- a/crates/core/src/gateway/quarantine.rs
+++ b/crates/core/src/gateway/quarantine.rs
@@ -255,8 +255,8 @@
         }
     }
 
-    /// Tells whether a request is quarantined; `fared` tells whether an endpoint has lived or ended
-    /// since a time.
+    /// Tells whether a request is quarantined; `fared` tells whether an endpoint has answered or
+    /// ended since a time.
     pub fn verdict(
         &self,
         now: Time,
@@ -307,7 +307,7 @@
 
     /// Drops old records and false crashes: those of endpoints that have answered since, and those
     /// of endpoints that had ended before the request was sent; `fared` tells whether an endpoint
-    /// has lived or ended since a time.
+    /// has answered or ended since a time.
     ///
     /// False crashes are dropped at once, because once these endpoints have left nothing proves any
     /// more that they went on.
@@ -381,11 +381,11 @@
             if let Some(age) = record.answered {
                 suspect.apply_answer(now, now - age);
             }
-            for told in &record.crashes {
-                let at = now - told.age;
+            for report in &record.crashes {
+                let at = now - report.age;
                 let crash = Crash {
-                    endpoint: told.endpoint,
-                    sent: at - told.ran,
+                    endpoint: report.endpoint,
+                    sent: at - report.ran,
                     at,
                     observed_here: false,
                 };
@@ -523,14 +523,14 @@
     }
 
     fn record(&self, now: Time, request: Fingerprint) -> Record {
-        let told = |crash: &Crash| CrashReport {
+        let report = |crash: &Crash| CrashReport {
             endpoint: crash.endpoint,
             age: now.since(crash.at),
             ran: crash.at.since(crash.sent),
         };
         Record {
             request,
-            crashes: self.crashes.iter().map(told).collect(),
+            crashes: self.crashes.iter().map(report).collect(),
             answered: self.answered.map(|at| now.since(at)),
         }
     }
--- a/crates/core/src/gateway/registry.rs
+++ b/crates/core/src/gateway/registry.rs
@@ -140,11 +140,11 @@
     /// after the recovery. If only a few are missing they are removed in any case: if they have not
     /// left, the other endpoints carry their work meanwhile.
     pub fn remove(&mut self, now: Time, ids: &[Bytes], grace: Millis, news: &mut Vec<News>) {
-        let returned = self.recovered.filter(|at| now.since(*at) < grace);
+        let recovered = self.recovered.filter(|at| now.since(*at) < grace);
         let depleted_services = self.depleted_services(ids);
         for id in ids {
             let lapsed =
-                returned.is_some_and(|at| self.mark_lapsed(at, id, &depleted_services, news));
+                recovered.is_some_and(|at| self.mark_lapsed(at, id, &depleted_services, news));
             if !lapsed {
                 self.discard(id, news);
             }
--- a/crates/core/src/gateway/warmup.rs
+++ b/crates/core/src/gateway/warmup.rs
@@ -179,7 +179,7 @@
 }
 
 impl Warmup {
-    /// Takes over a changed fleet or set of cold endpoints, and computes the quotas again.
+    /// Updates the fleet and the set of cold endpoints, and computes the quotas for them.
     pub fn follow(&mut self, now: Time, fleet: &Fleet, cold: &[ColdEndpoint]) {
         let started = *self.started.get_or_insert(now);
         self.me = fleet.me;
@@ -250,12 +250,12 @@
     }
 
     /// Tells whether an endpoint is cold.
-    pub fn active(&self) -> bool {
+    pub fn has_cold_endpoints(&self) -> bool {
         !self.meters.is_empty()
     }
 
     /// Records that a workspace has a request that may have to go to a cold endpoint.
-    pub fn asked(&mut self, now: Time, workspace: u64) {
+    pub fn record_waiting(&mut self, now: Time, workspace: u64) {
         self.usage.add(now, workspace);
     }
 
@@ -280,7 +280,7 @@
     }
 
     /// Records that a workspace's request was placed on a cold endpoint.
-    pub fn chosen(&mut self, now: Time, workspace: u64, endpoint: EndpointKey) {
+    pub fn record_placed(&mut self, now: Time, workspace: u64, endpoint: EndpointKey) {
         self.usage.record_placed(workspace);
         let meter = self.meters.entry(endpoint).or_default();
         meter.used.retain(|at| now.since(*at) < PERIOD);
--- a/crates/core/tests/gateway/warmup.rs
+++ b/crates/core/tests/gateway/warmup.rs
@@ -131,7 +131,7 @@
             };
             router.warmup.follow(now, &fleet, &[self.cold]);
             while router.warmup.admits(now, self.cold.key) {
-                router.warmup.chosen(now, 0, self.cold.key);
+                router.warmup.record_placed(now, 0, self.cold.key);
                 router.warmup.sent(now, self.cold.key);
                 self.arrivals.push_back(self.now_ms);
                 self.total += 1;
@@ -404,11 +404,11 @@
     warmup.follow(Time(5000), &alone, &[simulation.cold]);
     let key = simulation.cold.key;
     let mut try_request = |workspace| {
-        warmup.asked(Time(5000), workspace);
+        warmup.record_waiting(Time(5000), workspace);
         let admitted = warmup.admits(Time(5000), key)
             && warmup.admits_rank(Time(5000), 1, workspace, [key].into_iter());
         if admitted {
-            warmup.chosen(Time(5000), workspace, key);
+            warmup.record_placed(Time(5000), workspace, key);
             simulation.total += 1;
         }
         admitted
