--- a/crates/core/src/gateway/place.rs
+++ b/crates/core/src/gateway/place.rs
@@ -244,8 +244,8 @@
     endpoint.load(context.now) as f32 + above.max(0.0) * FAILURE_LOAD
 }
 
-/// Finds the endpoint other than `chosen` that most likely holds prompts with `part_id`: the first in
-/// their order that has been listed for long enough, even if it is leaving. An endpoint that has
+/// Finds the endpoint other than `chosen` that most likely holds prompts with `part_id`: the first
+/// in their order that has been listed for long enough, even if it is leaving. An endpoint that has
 /// just joined has read nothing yet. Where `chosen` itself is the first, the next one may have
 /// replaced it for a while; fetching what is already held costs nothing.
 fn holder(
--- a/crates/core/src/gateway/proof.rs
+++ b/crates/core/src/gateway/proof.rs
@@ -17,8 +17,7 @@
 /// `FreshnessProof` is the sending time of the newest read that returned the newest state.
 ///
 /// The time of sending counts, not that of the answer: the answer does not contain a change that
-/// was acknowledged while it was on its way. Times come from a clock that counts
-/// suspension.
+/// was acknowledged while it was on its way. Times come from a clock that counts suspension.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FreshnessProof {
     read: Option<Time>,
--- a/crates/core/src/gateway/quarantine.rs
+++ b/crates/core/src/gateway/quarantine.rs
@@ -50,8 +50,8 @@
 /// Factor by which the hold time grows after each trial that crashed an endpoint.
 const HOLD_FACTOR: u64 = 12;
 /// Once the hold time is over, a request is admitted as a trial with a probability of one in this
-/// number times the number of routers. Routers do not coordinate trials; with a smaller number several
-/// would admit one at the same time.
+/// number times the number of routers. Routers do not coordinate trials; with a smaller number
+/// several would admit one at the same time.
 const TRIAL_ODDS_PER_ROUTER: u64 = 2;
 /// Time after a trial in which the same router admits no other trial of the same request.
 const TRIAL_INTERVAL: Millis = Millis(3000);
