--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -45,7 +45,7 @@
 };
 
 /// Most bytes of the answer to a call.
-const MAX_ANSWER: usize = 16 << 20;
+const MAX_CALL_BODY_BYTES: usize = 16 << 20;
 /// Milliseconds after which unacknowledged bytes end a connection. A peer behind a partition sends
 /// no reset; without this its connections would hang for minutes.
 const USER_TIMEOUT_MS: u32 = 2000;
@@ -55,7 +55,7 @@
 pub enum Error {
     /// No connection in time.
     #[snafu(display("no connection to {address} within {within:?}"))]
-    Slow {
+    ConnectTimeout {
         /// Where.
         address: SocketAddrV4,
         /// The time that it had.
@@ -63,7 +63,7 @@
     },
     /// The connection was refused, or its options could not be set.
     #[snafu(display("can't connect to {address}"))]
-    Refused {
+    ConnectFailed {
         /// Where.
         address: SocketAddrV4,
         /// Why.
@@ -72,13 +72,13 @@
     /// No whole answer in time. The bytes tell a peer that says nothing from an answer that is large
     /// for its link.
     #[snafu(display("no whole answer in time, {received} bytes of its body came"))]
-    Late {
+    ResponseTimeout {
         /// Bytes of its body that had come.
         received: usize,
     },
     /// The connection broke before the answer was whole.
     #[snafu(display("the connection broke"))]
-    Lost,
+    ConnectionLost,
     /// The answer is no success.
     #[snafu(display("status {status}"))]
     Status {
@@ -95,29 +95,29 @@
     },
 }
 
-/// `Times` bounds a call.
+/// `Timeouts` bounds a call.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct Timeouts {
     /// For a new connection.
-    pub open: Duration,
+    pub connect: Duration,
     /// For the head of the answer.
-    pub first: Duration,
+    pub head: Duration,
     /// For the next piece of its body.
-    pub piece: Duration,
+    pub body_frame: Duration,
     /// For all of it.
-    pub whole: Duration,
+    pub total: Duration,
 }
 
-/// `Link` makes calls to one address, one after the other, over a connection that is kept while each
+/// `HttpClient` makes calls to one address, one after the other, over a connection that is kept while each
 /// answer is whole.
 #[derive(Debug)]
-pub struct Link {
+pub struct HttpClient {
     /// Where it goes.
     pub address: SocketAddrV4,
     connection: Option<Connection>,
 }
 
-impl Link {
+impl HttpClient {
     /// Makes a link that is not connected yet.
     pub const fn new(address: SocketAddrV4) -> Self {
         Self {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Makes a call; gets the body of an answer with a success. `heard` is called when its head has come.
+    /// Makes a call; gets the body of an answer with a success. `on_head` is called when its head has come.
     ///
     /// # Errors
     ///
@@ -134,48 +134,48 @@
     pub async fn call(
         &mut self,
         request: Request<Full<Bytes>>,
-        times: Times,
-        heard: &dyn Fn(),
+        timeouts: Timeouts,
+        on_head: &dyn Fn(),
     ) -> Result<Bytes, Error> {
         let mut received = 0;
-        let called = self.exchange(request, times, heard, &mut received);
-        let called = timeout(times.whole, called).await;
-        called.unwrap_or(Err(Error::Late { received }))
+        let called = self.exchange(request, timeouts, on_head, &mut received);
+        let called = timeout(timeouts.total, called).await;
+        called.unwrap_or(Err(Error::ResponseTimeout { received }))
     }
 
     async fn exchange(
         &mut self,
         mut request: Request<Full<Bytes>>,
-        times: Times,
-        heard: &dyn Fn(),
+        timeouts: Timeouts,
+        on_head: &dyn Fn(),
         received: &mut usize,
     ) -> Result<Bytes, Error> {
         let address = self.address;
-        let kept = self.connection.take().filter(Connection::free);
+        let kept = self.connection.take().filter(Connection::is_ready);
         let mut open = match kept {
             Some(open) => open,
-            None => Connection::open(address, times.open).await?,
+            None => Connection::open(address, timeouts.connect).await?,
         };
-        let host = HeaderValue::try_from(address.to_string()).map_err(|_| Error::Lost)?;
+        let host = HeaderValue::try_from(address.to_string()).map_err(|_| Error::ConnectionLost)?;
         request.headers_mut().insert(header::HOST, host);
-        let sent = timeout(times.first, open.send(request)).await;
+        let sent = timeout(timeouts.head, open.send(request)).await;
         let response = match sent {
-            Ok(Sent::Head(response)) => response,
-            Ok(_) => return Err(Error::Lost),
-            Err(_) => return Err(Error::Late { received: 0 }),
+            Ok(SendOutcome::Head(response)) => response,
+            Ok(_) => return Err(Error::ConnectionLost),
+            Err(_) => return Err(Error::ResponseTimeout { received: 0 }),
         };
-        heard();
+        on_head();
         let status = response.status();
         ensure!(status.is_success(), StatusSnafu { status });
-        let mut body = Limited::new(response.into_body(), MAX_ANSWER);
-        let stated = usize::try_from(body.size_hint().lower()).unwrap_or(MAX_ANSWER);
-        let mut bytes = BytesMut::with_capacity(stated.min(MAX_ANSWER));
+        let mut body = Limited::new(response.into_body(), MAX_CALL_BODY_BYTES);
+        let stated = usize::try_from(body.size_hint().lower()).unwrap_or(MAX_CALL_BODY_BYTES);
+        let mut bytes = BytesMut::with_capacity(stated.min(MAX_CALL_BODY_BYTES));
         loop {
-            let frame = match timeout(times.piece, body.frame()).await {
-                Ok(Some(frame)) => frame.map_err(|_| Error::Lost)?,
+            let frame = match timeout(timeouts.body_frame, body.frame()).await {
+                Ok(Some(frame)) => frame.map_err(|_| Error::ConnectionLost)?,
                 Ok(None) => break,
                 Err(_) => {
-                    return Err(Error::Late {
+                    return Err(Error::ResponseTimeout {
                         received: *received,
                     });
                 }
@@ -203,15 +203,15 @@
     }
 }
 
-/// `Sent` is how the sending of a request ended.
+/// `SendOutcome` is how the sending of a request ended.
 #[derive(Debug)]
-pub enum Sent {
+pub enum SendOutcome {
     /// The head of an answer came.
     Head(Response<Incoming>),
     /// No byte of the request was written.
     Unsent,
     /// Some of it may have been written, and no head came.
-    Lost(hyper::Error),
+    ConnectionLost(hyper::Error),
 }
 
 impl Connection {
@@ -223,13 +223,15 @@
     pub async fn open(address: SocketAddrV4, within: Duration) -> Result<Self, Error> {
         let connecting = TcpStream::connect(address);
         let Ok(connected) = timeout(within, connecting).await else {
-            return SlowSnafu { address, within }.fail();
+            return ConnectTimeoutSnafu { address, within }.fail();
         };
-        let stream = connected.context(RefusedSnafu { address })?;
-        stream.set_nodelay(true).context(RefusedSnafu { address })?;
+        let stream = connected.context(ConnectFailedSnafu { address })?;
+        stream
+            .set_nodelay(true)
+            .context(ConnectFailedSnafu { address })?;
         set_tcp_user_timeout(&stream, USER_TIMEOUT_MS)
             .map_err(std::io::Error::from)
-            .context(RefusedSnafu { address })?;
+            .context(ConnectFailedSnafu { address })?;
         let (sender, connection) = http1::Builder::new()
             .handshake(TokioIo::new(stream))
             .await
@@ -246,22 +248,22 @@
     }
 
     /// Tells whether a request can be sent on it now: nothing is outstanding and nothing unread.
-    pub fn free(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
     /// Tells whether it has ended.
-    pub fn closed(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
     /// Sends a request and waits for the answer's head.
-    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Sent {
+    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> SendOutcome {
         match self.sender.try_send_request(request).await {
-            Ok(response) => Sent::Head(response),
+            Ok(response) => SendOutcome::Head(response),
             Err(mut error) => match error.take_message() {
-                Some(_) => Sent::Unsent,
-                None => Sent::Lost(error.into_error()),
+                Some(_) => SendOutcome::Unsent,
+                None => SendOutcome::ConnectionLost(error.into_error()),
             },
         }
     }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -47,8 +47,8 @@
 };
 
 use crate::{
-    call::Call,
     log::text,
+    proxied::ProxiedRequest,
     relay,
     state::{
         Phase,
@@ -59,23 +59,23 @@
 };
 
 /// Most bytes of an answer that is held until it is whole; longer ones are not taken.
-pub(crate) const MAX_ANSWER: usize = 8 << 20;
+pub(crate) const MAX_BUFFERED_ANSWER_BYTES: usize = 8 << 20;
 
 /// Seconds for which a caller may use its connection again after an answer. Connections without a request hold
 /// memory, which is most of what a router has at its peak if each is kept for as long as a configuration allows.
-pub(crate) const KEEP_S: u64 = 3;
+pub(crate) const KEEP_ALIVE_S: u64 = 3;
 /// The same as callers are told.
-const KEEP: &str = "timeout=3";
-const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
+const KEEP_ALIVE_VALUE: &str = "timeout=3";
+const KEEP_ALIVE_HEADER: HeaderName = HeaderName::from_static("keep-alive");
 
-/// `Broken` ends an answer to a caller that can't be made whole.
+/// `BodyAborted` ends an answer to a caller that can't be made whole.
 #[derive(Debug, Snafu)]
 #[snafu(display("the endpoint's answer broke off"))]
-pub struct Broken;
+pub struct BodyAborted;
 
 /// `Body` is the body of an answer to a caller.
 pub type Body =
-    Either<Full<Bytes>, StreamBody<LocalBoxStream<'static, Result<Frame<Bytes>, Broken>>>>;
+    Either<Full<Bytes>, StreamBody<LocalBoxStream<'static, Result<Frame<Bytes>, BodyAborted>>>>;
 
 /// Serves one request.
 pub(crate) async fn serve(
@@ -85,24 +85,27 @@
     let began = now();
     let (parts, body) = request.into_parts();
     let mut response = match read(&state, &parts, body, began).await {
-        Ok((ask, body)) => run(&state, ask, parts, body, began).await,
+        Ok((ask, body)) => admit_and_answer(&state, ask, parts, body, began).await,
         Err((id, refusal)) => refuse(&state, &id, refusal, None),
     };
     let headers = response.headers_mut();
     if state.phase() >= Phase::Stopping {
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
-    } else if keeps(&state) {
-        headers.insert(KEEP_ALIVE, HeaderValue::from_static(KEEP));
+    } else if keep_alive_allowed(&state) {
+        headers.insert(
+            KEEP_ALIVE_HEADER,
+            HeaderValue::from_static(KEEP_ALIVE_VALUE),
+        );
     }
     Ok(response)
 }
 
 /// Tells whether a caller may use its connection again for the time that it is told: the published limit
 /// of idle connections may be shorter.
-fn keeps(state: &State) -> bool {
+fn keep_alive_allowed(state: &State) -> bool {
     let gateway = state.gateway.borrow();
     let limits = gateway.catalog().map(|c| c.limits);
-    limits.is_some_and(|limits| limits.idle.0 > KEEP_S * 1000)
+    limits.is_some_and(|limits| limits.idle.0 > KEEP_ALIVE_S * 1000)
 }
 
 async fn read(
@@ -111,12 +114,12 @@
     body: Incoming,
     began: Time,
 ) -> Result<(Ask, Bytes), (Bytes, Refusal)> {
-    let unnamed = Bytes::new();
-    let ask = (state.dialect.ask)(parts).map_err(|why| {
-        if state.log.admits() {
+    let no_id = Bytes::new();
+    let ask = (state.protocol.ask)(parts).map_err(|why| {
+        if state.log.try_admit() {
             tracing::warn!(event = 601, why, "request is malformed");
         }
-        (unnamed, Refusal::never(Cause::Malformed))
+        (no_id, Refusal::never(Cause::Malformed))
     })?;
     let limits = {
         let gateway = state.gateway.borrow();
@@ -127,17 +130,17 @@
         return Err((ask.id, Refusal::never(Cause::TooLarge)));
     }
     let body_timeout = ask.deadline.unwrap_or(limits.idle).min(limits.idle);
-    let whole = timeout(
+    let collected = timeout(
         Duration::from_millis(body_timeout.0),
         Limited::new(body, limits.body).collect(),
     );
-    match whole.await {
+    match collected.await {
         Ok(Ok(body)) => Ok((ask, body.to_bytes())),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             Err((ask.id, Refusal::never(Cause::TooLarge)))
         }
         Ok(Err(error)) => {
-            if state.log.admits() {
+            if state.log.try_admit() {
                 let id = text(&ask.id);
                 tracing::warn!(event = 602, %id, %error, "request's body broke off");
             }
@@ -145,7 +148,7 @@
         }
         Err(_) => {
             let waited = now().since(began).0;
-            if state.log.admits() {
+            if state.log.try_admit() {
                 let id = text(&ask.id);
                 tracing::warn!(event = 603, %id, waited, "request's body is slow");
             }
@@ -154,14 +157,14 @@
     }
 }
 
-async fn run(
+async fn admit_and_answer(
     state: &Shared,
     mut ask: Ask,
     parts: Parts,
     body: Bytes,
     began: Time,
 ) -> Response<Body> {
-    state.first_read().await;
+    state.wait_for_first_read().await;
     // What is known may have grown old while the body came.
     let now = now();
     ask.waited = now.since(began);
@@ -170,29 +173,29 @@
         Ok(ticket) => ticket,
         Err(refusal) => return refuse(state, &ask.id, refusal, ask.deadline.map(|d| began + d)),
     };
-    let call = Call::new(state.clone(), (ask, ticket), (parts, body), began);
-    if call.ticket.route.kind.streams() {
-        relay::answer(call).await
+    let proxied = ProxiedRequest::new(state.clone(), (ask, ticket), (parts, body), began);
+    if proxied.ticket.route.kind.streams() {
+        relay::answer(proxied).await
     } else {
-        whole(call).await
+        answer_buffered(proxied).await
     }
 }
 
 /// Answers a request whose answer is held until it is whole, so that what breaks off can be
 /// repeated.
-async fn whole(mut call: Call) -> Response<Body> {
+async fn answer_buffered(mut proxied: ProxiedRequest) -> Response<Body> {
     let mut failure = None;
     loop {
-        let attempt = match call.start(None).await {
+        let attempt = match proxied.start(None).await {
             Ok(attempt) => attempt,
-            Err(refusal) => return failure.unwrap_or_else(|| call.refuse(refusal)),
+            Err(refusal) => return failure.unwrap_or_else(|| proxied.refuse(refusal)),
         };
-        match call.hold(attempt).await {
-            (Next::Again, held) => failure = held.ok().or(failure),
+        match proxied.buffer_answer(attempt).await {
+            (Next::Again, answer) => failure = answer.ok().or(failure),
             (_, Ok(response)) => return response,
             (_, Err(fate)) => {
-                let refusal = call.given_up(fate.cause());
-                return failure.unwrap_or_else(|| call.refuse(refusal));
+                let refusal = proxied.given_up(fate.cause());
+                return failure.unwrap_or_else(|| proxied.refuse(refusal));
             }
         }
     }
@@ -207,11 +210,11 @@
 ) -> Response<Body> {
     let now = now();
     let draw = xxhash_rust::xxh3::xxh3_64(id);
-    let until = deadline.unwrap_or(now + DEFAULT_WAIT);
+    let until = deadline.unwrap_or(now + DEFAULT_DEADLINE);
     let soon = || come_back(now, until, draw);
     let wait = refusal.again.then(|| refusal.after.unwrap_or_else(soon));
     state.metrics.count("refusals", &refusal.cause.to_string());
-    if state.log.admits() {
+    if state.log.try_admit() {
         let gateway = state.gateway.borrow();
         tracing::warn!(
             event = 620,
@@ -225,9 +228,9 @@
             "request refused"
         );
     }
-    let response = (state.dialect.refuse)(&refusal, id, wait);
+    let response = (state.protocol.refuse)(&refusal, id, wait);
     response.map(|body| Either::Left(Full::new(body)))
 }
 
 /// Time that a caller is taken to wait that doesn't say.
-const DEFAULT_WAIT: Millis = Millis(3000);
+const DEFAULT_DEADLINE: Millis = Millis(3000);
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -20,48 +20,48 @@
 use crate::{
     log::text,
     state::{
-        Known,
+        RegistryState,
         Shared,
         now, //
     },
 };
 
-/// `Reader` translates reads of the registry. It does no I/O.
-pub struct Reader {
+/// `RegistryReader` translates reads of the registry. It does no I/O.
+pub struct RegistryReader {
     /// Begins a read of what has changed since a revision, or of everything.
-    pub begin: fn(Option<Revision>) -> Read,
+    pub begin: fn(Option<Revision>) -> RegistryRead,
     /// Says what a record means.
-    pub change: fn(&Record) -> Meaning,
+    pub change: fn(&Record) -> RecordMeaning,
 }
 
-/// `Read` is one read of the registry, as calls and their answers.
-pub struct Read {
+/// `RegistryRead` is one read of the registry, as calls and their answers.
+pub struct RegistryRead {
     /// Path of the first call.
     pub path: String,
     /// Path of the call that follows if the registry holds something newer, where that is known beforehand: it
     /// can be made at the same time.
-    pub ahead: Option<String>,
+    pub speculative_path: Option<String>,
     /// Takes an answer's body in.
-    pub took: Box<Took>,
+    pub on_body: Box<OnBody>,
     /// Begins with everything in place of what has changed; gets the path of the call.
-    pub anew: fn() -> Read,
+    pub restart: fn() -> RegistryRead,
 }
 
-/// `Meaning` is what a record changes, if anything, and what is wrong with it, if it can't be understood.
+/// `RecordMeaning` is what a record changes, if anything, and what is wrong with it, if it can't be understood.
 #[derive(Debug, Default)]
-pub struct Meaning {
+pub struct RecordMeaning {
     /// What it changes.
     pub change: Option<Change>,
     /// What is wrong with it.
     pub fault: Option<String>,
 }
 
-/// `Took` takes an answer's body in; the error says what is wrong with it.
-pub type Took = dyn FnMut(&[u8]) -> Result<Step, String>;
+/// `OnBody` takes an answer's body in; the error says what is wrong with it.
+pub type OnBody = dyn FnMut(&[u8]) -> Result<RegistryStep, String>;
 
-/// `Step` is what follows an answer of the registry.
+/// `RegistryStep` is what follows an answer of the registry.
 #[derive(Debug)]
-pub enum Step {
+pub enum RegistryStep {
     /// The read goes on with the call of this path.
     More(String),
     /// The registry holds something newer, and the read goes on with the call of this path.
@@ -71,10 +71,16 @@
 }
 
 /// How a delta is taken into the copy.
-pub(crate) type Take = fn(&mut Mirror, Delta) -> Vec<Record>;
+pub(crate) type ApplyDelta = fn(&mut Mirror, Delta) -> Vec<Record>;
 
 /// Takes in what was the newest state at `read`. What is older than the copy proves nothing.
-pub(crate) fn apply(state: &Shared, read: Time, delta: Delta, take: Take, reader: &Reader) {
+pub(crate) fn apply(
+    state: &Shared,
+    read: Time,
+    delta: Delta,
+    take: ApplyDelta,
+    reader: &RegistryReader,
+) {
     let revision = delta.revision;
     if revision < state.mirror.borrow().revision() {
         tracing::debug!(
@@ -89,23 +95,23 @@
     for record in &records {
         let meaning = (reader.change)(record);
         changes.extend(meaning.change);
-        if let Some(why) = meaning.fault.filter(|_| state.log.admits()) {
+        if let Some(why) = meaning.fault.filter(|_| state.log.try_admit()) {
             let key = text(&record.key);
             tracing::warn!(event = 657, %key, why, "record refused");
         }
     }
-    follow_changes(state, changes);
-    tell(state);
+    apply_changes(state, changes);
+    notify_waiters(state);
 }
 
 /// Tells those that wait for it what is known now.
-fn tell(state: &Shared) {
+fn notify_waiters(state: &Shared) {
     let read = state.gateway.borrow().proof().read().unwrap_or_default();
     let revision = state.mirror.borrow().revision();
-    state.changes.send_replace(Known { revision, read });
+    state.changes.send_replace(RegistryState { revision, read });
 }
 
-fn follow_changes(state: &Shared, changes: Vec<Change>) {
+fn apply_changes(state: &Shared, changes: Vec<Change>) {
     let news = state.gateway.borrow_mut().follow(now(), changes);
     for news in news {
         if let News::Applied { version } = news
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -36,9 +36,9 @@
     rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            _ = rounds.tick() => tell(&state, &socket).await,
-            heard = socket.recv_from(&mut buffer) => match heard {
-                Ok((length, _)) => receive(&state, &buffer[..length]),
+            _ = rounds.tick() => send_digests(&state, &socket).await,
+            received = socket.recv_from(&mut buffer) => match received {
+                Ok((length, _)) => receive_digest(&state, &buffer[..length]),
                 // A peer that is gone may be told of by its machine; the next one is heard.
                 Err(error) => tracing::debug!(%error, "no datagram"),
             },
@@ -46,7 +46,7 @@
     }
 }
 
-async fn tell(state: &Shared, socket: &UdpSocket) {
+async fn send_digests(state: &Shared, socket: &UdpSocket) {
     let at = now();
     let datagrams: Vec<_> = {
         let mut gateway = state.gateway.borrow_mut();
@@ -61,7 +61,7 @@
         let (reports, crashes) = gateway.observed(at, draw);
         gateway.fleet(at, mesh.size(at));
         gateway.follow_fleet(at, &mesh.fleet(at));
-        let sealed = |target| {
+        let seal_for = |target| {
             let digest = Digest {
                 samples: samples.clone(),
                 crashes: crashes.clone(),
@@ -70,7 +70,7 @@
             let payload = encode_digest(&digest);
             (seal(&catalog.secret, catalog.version, payload), target)
         };
-        targets.into_iter().map(sealed).collect()
+        targets.into_iter().map(seal_for).collect()
     };
     for (sealed, target) in datagrams {
         if let Err(error) = socket.send_to(&sealed, target).await {
@@ -79,7 +79,7 @@
     }
 }
 
-fn receive(state: &Shared, datagram: &[u8]) {
+fn receive_digest(state: &Shared, datagram: &[u8]) {
     let opened = open(datagram, |epoch| state.secret(epoch));
     let digest = opened.and_then(|(epoch, payload)| Ok((epoch, decode_digest(&payload)?)));
     match digest {
--- a/crates/gateway/src/pace.rs
+++ b/crates/gateway/src/head_timeout.rs
@@ -37,26 +37,26 @@
     },
 };
 
-/// `Pace` is how far a connection's requests are.
+/// `ConnectionProgress` is how far a connection's requests are.
 #[derive(Debug)]
-pub(crate) struct Pace {
+pub(crate) struct ConnectionProgress {
     /// Heads that came whole.
     heads: Cell<u64>,
     /// Requests whose answer has not ended.
     open: Cell<u32>,
     /// The same of all connections.
-    all: Rc<Cell<usize>>,
+    open_requests: Rc<Cell<usize>>,
     /// When the last answer ended; `None` before the first request and while one is open.
     idle: Cell<Option<Instant>>,
 }
 
-impl Pace {
-    /// Makes that of a new connection; `all` counts the open requests of all.
-    pub(crate) fn new(all: &Rc<Cell<usize>>) -> Self {
+impl ConnectionProgress {
+    /// Makes that of a new connection; `open_requests` counts the open requests of all.
+    pub(crate) fn new(open_requests: &Rc<Cell<usize>>) -> Self {
         Self {
             heads: Cell::new(0),
             open: Cell::new(0),
-            all: Rc::clone(all),
+            open_requests: Rc::clone(open_requests),
             idle: Cell::new(None),
         }
     }
@@ -74,39 +74,39 @@
     }
 }
 
-/// `Open` is a request from its whole head until its answer's end.
+/// `OpenRequest` is a request from its whole head until its answer's end.
 #[derive(Debug)]
-pub(crate) struct Open(Rc<Pace>);
+pub(crate) struct OpenRequest(Rc<ConnectionProgress>);
 
-impl Open {
+impl OpenRequest {
     /// Notes that a request's head came whole.
-    pub(crate) fn new(pace: &Rc<Pace>) -> Self {
-        pace.heads.set(pace.heads.get().wrapping_add(1));
-        pace.open.set(pace.open.get() + 1);
-        pace.all.set(pace.all.get() + 1);
-        pace.idle.set(None);
-        Self(Rc::clone(pace))
+    pub(crate) fn new(progress: &Rc<ConnectionProgress>) -> Self {
+        progress.heads.set(progress.heads.get().wrapping_add(1));
+        progress.open.set(progress.open.get() + 1);
+        progress.open_requests.set(progress.open_requests.get() + 1);
+        progress.idle.set(None);
+        Self(Rc::clone(progress))
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
-        self.0.all.set(self.0.all.get() - 1);
+        self.0.open_requests.set(self.0.open_requests.get() - 1);
         if self.0.open.get() == 0 {
             self.0.idle.set(Some(Instant::now()));
         }
     }
 }
 
-/// `Answering` is an answer's body; its request is open until it is dropped.
+/// `TrackedBody` is an answer's body; its request is open until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Answering<B> {
+pub(crate) struct TrackedBody<B> {
     pub(crate) body: B,
-    pub(crate) _open: Open,
+    pub(crate) _open: OpenRequest,
 }
 
-impl<B: Body + Unpin> Body for Answering<B> {
+impl<B: Body + Unpin> Body for TrackedBody<B> {
     type Data = B::Data;
     type Error = B::Error;
 
@@ -126,34 +126,38 @@
     }
 }
 
-/// `Paced` is a caller's connection that breaks when a head takes too long.
+/// `HeadTimeoutStream` is a caller's connection that breaks when a head takes too long.
 #[derive(Debug)]
-pub(crate) struct Paced {
+pub(crate) struct HeadTimeoutStream {
     stream: TcpStream,
-    pace: Rc<Pace>,
+    progress: Rc<ConnectionProgress>,
     limit: Duration,
     /// Number of the head that is being read, and when it must be whole.
     head: Option<(u64, Instant)>,
     /// Made only for a head that doesn't come at once: nearly all do.
-    clock: Option<Pin<Box<Sleep>>>,
+    timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl Paced {
+impl HeadTimeoutStream {
     /// Makes a connection whose heads may take `limit`.
-    pub(crate) fn new(stream: TcpStream, pace: &Rc<Pace>, limit: Duration) -> Self {
+    pub(crate) fn new(
+        stream: TcpStream,
+        progress: &Rc<ConnectionProgress>,
+        limit: Duration,
+    ) -> Self {
         Self {
             stream,
-            pace: Rc::clone(pace),
+            progress: Rc::clone(progress),
             limit,
             head: None,
-            clock: None,
+            timer: None,
         }
     }
 
     /// Notes that bytes came.
-    fn came(&mut self) {
-        let number = self.pace.heads.get();
-        if self.pace.open.get() > 0 {
+    fn note_bytes_received(&mut self) {
+        let number = self.progress.heads.get();
+        if self.progress.open.get() > 0 {
             self.head = None;
         } else if self.head.is_none_or(|(n, _)| n != number) {
             self.head = Some((number, Instant::now() + self.limit));
@@ -161,18 +165,18 @@
     }
 
     /// Waits for the end of the time that the head has.
-    fn poll_late(&mut self, context: &mut Context<'_>) -> Poll<io::Error> {
-        let number = self.pace.heads.get();
-        let running = self.head.filter(|(n, _)| *n == number);
-        let Some((_, end)) = running else {
-            self.clock = None;
+    fn poll_head_timeout(&mut self, context: &mut Context<'_>) -> Poll<io::Error> {
+        let number = self.progress.heads.get();
+        let awaited = self.head.filter(|(n, _)| *n == number);
+        let Some((_, end)) = awaited else {
+            self.timer = None;
             return Poll::Pending;
         };
-        let clock = self.clock.get_or_insert_with(|| Box::pin(sleep_until(end)));
-        if clock.deadline() != end {
-            clock.as_mut().reset(end);
+        let timer = self.timer.get_or_insert_with(|| Box::pin(sleep_until(end)));
+        if timer.deadline() != end {
+            timer.as_mut().reset(end);
         }
-        ready!(clock.as_mut().poll(context));
+        ready!(timer.as_mut().poll(context));
         Poll::Ready(io::Error::new(
             io::ErrorKind::TimedOut,
             "request head took too long",
@@ -180,7 +184,7 @@
     }
 }
 
-impl AsyncRead for Paced {
+impl AsyncRead for HeadTimeoutStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -190,16 +194,16 @@
         match Pin::new(&mut self.stream).poll_read(context, buffer) {
             Poll::Ready(read) => {
                 if buffer.filled().len() > before {
-                    self.came();
+                    self.note_bytes_received();
                 }
                 Poll::Ready(read)
             }
-            Poll::Pending => self.poll_late(context).map(Err),
+            Poll::Pending => self.poll_head_timeout(context).map(Err),
         }
     }
 }
 
-impl AsyncWrite for Paced {
+impl AsyncWrite for HeadTimeoutStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -1,6 +1,6 @@
 //! The decision log: one line for each decision that touches a request or changes a belief.
 //!
-//! Lines go through `tracing`. [`Log`] bounds their number: what is beyond it is counted, and the
+//! Lines go through `tracing`. [`LogLimiter`] bounds their number: what is beyond it is counted, and the
 //! count is written with the next second's first line, so that a reader sees that lines are missing.
 
 use std::cell::Cell;
@@ -13,20 +13,20 @@
 use crate::state;
 
 /// Lines a second that are written; the rest is counted.
-const MAX_LINES: u32 = 300;
+const MAX_LINES_PER_SECOND: u32 = 300;
 const SECOND: Millis = Millis(1000);
 
-/// `Log` counts the lines of the current second.
+/// `LogLimiter` counts the lines of the current second.
 #[derive(Debug, Default)]
-pub struct Log {
+pub struct LogLimiter {
     second: Cell<Time>,
     lines: Cell<u32>,
     dropped: Cell<u64>,
 }
 
-impl Log {
+impl LogLimiter {
     /// Tells whether one more line may be written.
-    pub fn admits(&self) -> bool {
+    pub fn try_admit(&self) -> bool {
         let now = state::now();
         if now.since(self.second.get()) >= SECOND {
             self.second.set(now);
@@ -38,7 +38,7 @@
         }
         let lines = self.lines.get() + 1;
         self.lines.set(lines);
-        let within = lines <= MAX_LINES;
+        let within = lines <= MAX_LINES_PER_SECOND;
         if !within {
             self.dropped.set(self.dropped.get() + 1);
         }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -9,7 +9,7 @@
 use toucanturn_core::units::Millis;
 
 /// Upper bounds of the latency classes in milliseconds; each about twice the one before.
-const CLASSES: [u64; 14] = [
+const BUCKET_BOUNDS_MS: [u64; 14] = [
     1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10_000, 20_000,
 ];
 
@@ -17,12 +17,12 @@
 #[derive(Debug, Default)]
 pub struct Metrics {
     counters: RefCell<IndexMap<(&'static str, String), u64>>,
-    times: RefCell<IndexMap<(&'static str, String), Times>>,
+    times: RefCell<IndexMap<(&'static str, String), Histogram>>,
 }
 
 #[derive(Debug, Default)]
-struct Times {
-    classes: [u64; CLASSES.len()],
+struct Histogram {
+    buckets: [u64; BUCKET_BOUNDS_MS.len()],
     count: u64,
     sum: u64,
 }
@@ -40,8 +40,8 @@
         let entry = times.entry((name, label.to_owned())).or_default();
         entry.count += 1;
         entry.sum += took.0;
-        if let Some(at) = CLASSES.iter().position(|bound| took.0 <= *bound) {
-            entry.classes[at] += 1;
+        if let Some(at) = BUCKET_BOUNDS_MS.iter().position(|bound| took.0 <= *bound) {
+            entry.buckets[at] += 1;
         }
     }
 
@@ -53,7 +53,7 @@
         }
         for ((name, label), times) in self.times.borrow().iter() {
             let mut below = 0;
-            for (bound, count) in CLASSES.iter().zip(times.classes) {
+            for (bound, count) in BUCKET_BOUNDS_MS.iter().zip(times.buckets) {
                 below += count;
                 let _ = writeln!(
                     out,
--- a/crates/gateway/src/copies.rs
+++ b/crates/gateway/src/peer_follower.rs
@@ -20,11 +20,11 @@
 use crate::{
     client::{
         self,
-        Link, //
+        HttpClient, //
     },
     feed::{
         self,
-        Reader, //
+        RegistryReader, //
     },
     peers,
     state::{
@@ -35,49 +35,53 @@
 };
 
 /// Time for which a peer is not asked that gave no answer.
-const AVOID: Millis = Millis(4000);
+const UNRESPONSIVE_PEER_PAUSE: Millis = Millis(4000);
 /// Time for which a peer is not asked that refused to answer: it may know no configuration yet, or another one.
-const AVOID_REFUSING: Millis = Millis(500);
+const REFUSING_PEER_PAUSE: Millis = Millis(500);
 /// Pause between asks, so that a peer that answers at once is not asked without end.
-const ASK_PAUSE: Duration = Duration::from_millis(50);
+const POLL_PAUSE: Duration = Duration::from_millis(50);
 /// Pause where nobody is to be asked, or who was gave no answer.
-const LOOK: Duration = Duration::from_millis(150);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(150);
 /// Part of the time between reads for which news are waited for where what can be proved is late.
-const LATE_PART: u64 = 4;
+const LATE_WAIT_DIVISOR: u64 = 4;
 
 /// Follows peers for good: one is waited at for news, and where it has none, others are asked meanwhile.
-pub(crate) async fn run(state: Shared, reader: Rc<Reader>) {
-    let last = Cell::new(Answer::News);
+pub(crate) async fn run(state: Shared, reader: Rc<RegistryReader>) {
+    let last_outcome = Cell::new(PollOutcome::Updated);
     tokio::join!(
-        follow(&state, &reader, &last),
-        search(&state, &reader, &last)
+        follow_upstream(&state, &reader, &last_outcome),
+        poll_others(&state, &reader, &last_outcome)
     );
 }
 
 /// Waits for news at the router that reads for the data centre, one ask after the other; keeps the last answer.
-async fn follow(state: &Shared, reader: &Reader, last: &Cell<Answer>) {
-    let mut upstream: Option<Link> = None;
+async fn follow_upstream(
+    state: &Shared,
+    reader: &RegistryReader,
+    last_outcome: &Cell<PollOutcome>,
+) {
+    let mut upstream: Option<HttpClient> = None;
     loop {
-        let Some(peer) = followed(state) else {
-            sleep(LOOK).await;
+        let Some(peer) = upstream_peer(state) else {
+            sleep(IDLE_POLL_INTERVAL).await;
             continue;
         };
         let interval = state.gateway.borrow().bounds().pace().interval;
         // The first time only: once others are asked, too, nothing is gained by an early answer.
-        let wait = if late(state) && last.get() != Answer::Nothing {
-            Millis(interval.0 / LATE_PART)
+        let wait = if is_proof_late(state) && last_outcome.get() != PollOutcome::UpToDate {
+            Millis(interval.0 / LATE_WAIT_DIVISOR)
         } else {
             interval
         };
-        let wait = wait.min(peers::MAX_WAIT);
-        let link = kept(&mut upstream, peer);
-        let answer = ask(state, link, wait, reader).await;
-        last.set(answer);
-        match answer {
+        let wait = wait.min(peers::MAX_LONG_POLL_WAIT);
+        let http_client = reuse_client(&mut upstream, peer);
+        let outcome = poll_peer(state, http_client, wait, reader).await;
+        last_outcome.set(outcome);
+        match outcome {
             // The own read brings it meanwhile.
-            Answer::Large => sleep(duration(wait).max(LOOK)).await,
-            Answer::News => sleep(ASK_PAUSE).await,
-            Answer::Nothing | Answer::None => sleep(LOOK).await,
+            PollOutcome::TooLarge => sleep(duration(wait).max(IDLE_POLL_INTERVAL)).await,
+            PollOutcome::Updated => sleep(POLL_PAUSE).await,
+            PollOutcome::UpToDate | PollOutcome::Failed => sleep(IDLE_POLL_INTERVAL).await,
         }
     }
 }
@@ -87,72 +91,80 @@
 ///
 /// Many of them are late, too. Waited at for news, each would cost the time between two reads, and three of them
 /// the time in which a change is promised to be in force; so they are only asked what they have.
-async fn search(state: &Shared, reader: &Reader, last: &Cell<Answer>) {
-    let mut other: Option<Link> = None;
+async fn poll_others(state: &Shared, reader: &RegistryReader, last_outcome: &Cell<PollOutcome>) {
+    let mut other: Option<HttpClient> = None;
     loop {
-        let alone = || last.get() == Answer::Nothing || followed(state).is_none();
-        let wanted = late(state) && alone();
-        if let Some(peer) = wanted.then(|| fallback_upstream(state)).flatten() {
-            let link = kept(&mut other, peer);
-            ask(state, link, Millis(0), reader).await;
+        let upstream_has_nothing =
+            || last_outcome.get() == PollOutcome::UpToDate || upstream_peer(state).is_none();
+        let wanted = is_proof_late(state) && upstream_has_nothing();
+        if let Some(peer) = wanted.then(|| other_peer(state)).flatten() {
+            let http_client = reuse_client(&mut other, peer);
+            poll_peer(state, http_client, Millis(0), reader).await;
         }
-        sleep(LOOK).await;
+        sleep(IDLE_POLL_INTERVAL).await;
     }
 }
 
 /// Gets the connection to a peer: the same for as long as the same peer will do.
-fn kept(link: &mut Option<Link>, peer: SocketAddrV4) -> &mut Link {
-    let kept = link.take().filter(|link| link.address == peer);
-    link.insert(kept.unwrap_or_else(|| Link::new(peer)))
+fn reuse_client(http_client: &mut Option<HttpClient>, peer: SocketAddrV4) -> &mut HttpClient {
+    let kept = http_client
+        .take()
+        .filter(|http_client| http_client.address == peer);
+    http_client.insert(kept.unwrap_or_else(|| HttpClient::new(peer)))
 }
 
-fn informed(state: &Shared) -> bool {
+fn has_configuration(state: &Shared) -> bool {
     state.gateway.borrow().catalog().is_some()
 }
 
 /// Gets the router that reads for the data centre, unless it is this one.
-fn followed(state: &Shared) -> Option<SocketAddrV4> {
+fn upstream_peer(state: &Shared) -> Option<SocketAddrV4> {
     let upstream = state.mesh.borrow().upstream(now());
-    upstream.filter(|_| informed(state))
+    upstream.filter(|_| has_configuration(state))
 }
 
 /// Gets another router to ask.
-fn fallback_upstream(state: &Shared) -> Option<SocketAddrV4> {
+fn other_peer(state: &Shared) -> Option<SocketAddrV4> {
     let draw = state.gateway.borrow_mut().draw();
     let other = state.mesh.borrow().fallback_upstream(now(), draw);
-    other.filter(|_| informed(state))
+    other.filter(|_| has_configuration(state))
 }
 
 /// Tells whether what can be proved is older than a peer that works lets it grow.
-fn late(state: &Shared) -> bool {
+fn is_proof_late(state: &Shared) -> bool {
     let gateway = state.gateway.borrow();
     let late = gateway.bounds().pace().late();
     !gateway.proof().holds(now(), late)
 }
 
-/// `Answer` is what came of an ask.
+/// `PollOutcome` is what came of an ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Answer {
+enum PollOutcome {
     /// Something newer.
-    News,
+    Updated,
     /// The peer has nothing newer.
-    Nothing,
+    UpToDate,
     /// It has something newer that is too large to be handed on.
-    Large,
+    TooLarge,
     /// None that can be used.
-    None,
+    Failed,
 }
 
 /// Asks a peer, and takes in what it has.
-async fn ask(state: &Shared, link: &mut Link, wait: Millis, reader: &Reader) -> Answer {
-    let peer = link.address;
-    let error = match peers::ask(state, link, wait).await {
+async fn poll_peer(
+    state: &Shared,
+    http_client: &mut HttpClient,
+    wait: Millis,
+    reader: &RegistryReader,
+) -> PollOutcome {
+    let peer = http_client.address;
+    let error = match peers::request_delta(state, http_client, wait).await {
         Ok((read, delta)) => {
             state.metrics.count("registry", "copied");
             state.reads.set(false);
             state.reading.borrow_mut().peer_answered();
             feed::apply(state, read, delta, Mirror::apply_from_peer, reader);
-            return Answer::News;
+            return PollOutcome::Updated;
         }
         Err(error) => error,
     };
@@ -169,21 +181,21 @@
             reading.peer_answered();
             reading.peer_withheld_update();
             state.peer_withheld_update.notify_one();
-            return Answer::Large;
+            return PollOutcome::TooLarge;
         }
         Some(StatusCode::SERVICE_UNAVAILABLE) => {
             state.metrics.count("registry", "nothing to copy");
             state.reading.borrow_mut().peer_answered();
-            return Answer::Nothing;
+            return PollOutcome::UpToDate;
         }
-        Some(_) => AVOID_REFUSING,
-        None => AVOID,
+        Some(_) => REFUSING_PEER_PAUSE,
+        None => UNRESPONSIVE_PEER_PAUSE,
     };
     state.metrics.count("registry", "copy failed");
     state.reading.borrow_mut().peer_silent();
-    if state.log.admits() {
+    if state.log.try_admit() {
         tracing::warn!(event = 656, %peer, %error, "peer's copy of the registry won't do");
     }
     state.mesh.borrow_mut().avoid(now(), peer, avoid);
-    Answer::None
+    PollOutcome::Failed
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -45,13 +45,13 @@
 use crate::{
     client::{
         self,
-        Link,
-        Times, //
+        HttpClient,
+        Timeouts, //
     },
     server,
     state::{
-        Known,
-        Packed,
+        CachedPack,
+        RegistryState,
         Shared,
         duration,
         now, //
@@ -61,19 +61,19 @@
 /// Path of the copies.
 const PATH: &str = "/registry";
 /// Longest wait of a copy for news.
-pub const MAX_WAIT: Millis = Millis(2000);
+pub const MAX_LONG_POLL_WAIT: Millis = Millis(2000);
 /// Time after that in which the answer must be there.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 /// By how much newer a read must be to be news, where nothing has changed: what the asker has of the same read
 /// looks a little older, by the time under way.
-const NEWS: Millis = Millis(100);
+const MIN_AGE_GAIN: Millis = Millis(100);
 /// The same once the ask has waited for as long as it may.
-const LITTLE: Millis = Millis(1);
+const MIN_AGE_GAIN_AFTER_WAIT: Millis = Millis(1);
 /// Most bytes of changes that are packed to be handed on: of more, not even the packed form is small.
-const MAX_PACKED: usize = 256 << 10;
+const MAX_DELTA_BYTES: usize = 256 << 10;
 /// Most packed bytes of changes that are handed on; the asker reads what is more by itself. Copies of large
 /// configurations in quick succession would fill a reader's link, and a change would be in force late at all that ask it.
-const MAX_HANDED: usize = 24 << 10;
+const MAX_PACK_BYTES: usize = 24 << 10;
 
 /// `Error` says why no copy came.
 #[derive(Debug, Snafu)]
@@ -92,10 +92,10 @@
     },
     /// No configuration is known here, with whose secret an ask could be made.
     #[snafu(display("expected a configuration to be in force"))]
-    Uninformed,
+    NoConfiguration,
     /// The answer is to another ask.
     #[snafu(display("expected the answer to this ask"))]
-    Other,
+    WrongNonce,
 }
 
 /// Asks a peer for what has changed, and to wait for a change if there is none; gets it with the time at
@@ -108,7 +108,11 @@
 /// # Errors
 ///
 /// No copy came, or one that can't be trusted.
-pub async fn ask(state: &Shared, link: &mut Link, wait: Millis) -> Result<(Time, Delta), Error> {
+pub async fn request_delta(
+    state: &Shared,
+    http_client: &mut HttpClient,
+    wait: Millis,
+) -> Result<(Time, Delta), Error> {
     let sent = now();
     let (ask, body) = {
         let mut gateway = state.gateway.borrow_mut();
@@ -118,23 +122,23 @@
             wait,
             age: gateway.proof().age(sent).unwrap_or(Millis(u64::MAX)),
         };
-        let catalog = gateway.catalog().ok_or(Error::Uninformed)?;
+        let catalog = gateway.catalog().ok_or(Error::NoConfiguration)?;
         let body = seal(&catalog.secret, catalog.version, encode_ask(&ask));
         (ask, body)
     };
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = http::Method::POST;
     *request.uri_mut() = http::Uri::from_static(PATH);
-    let times = Times {
-        open: ANSWER_TIMEOUT,
-        first: Duration::MAX,
-        piece: Duration::MAX,
-        whole: duration(wait) + ANSWER_TIMEOUT,
+    let timeouts = Timeouts {
+        connect: ANSWER_TIMEOUT,
+        head: Duration::MAX,
+        body_frame: Duration::MAX,
+        total: duration(wait) + ANSWER_TIMEOUT,
     };
-    let body = link.call(request, times, &|| ()).await?;
+    let body = http_client.call(request, timeouts, &|| ()).await?;
     let (_, payload) = open(&body, |epoch| state.secret(epoch))?;
     let copy = decode_copy(payload)?;
-    snafu::ensure!(copy.nonce == ask.nonce, OtherSnafu);
+    snafu::ensure!(copy.nonce == ask.nonce, WrongNonceSnafu);
     let made = sent + copy.waited.min(now().since(sent));
     Ok((made - copy.age, copy.delta))
 }
@@ -174,20 +178,20 @@
 async fn copy(state: &Shared, epoch: u64, ask: Ask) -> Response<Full<Bytes>> {
     let came = now();
     let theirs = came - ask.age;
-    let newer = |known: &Known, by: Millis| {
+    let newer = |known: &RegistryState, by: Millis| {
         let read = known.revision == ask.revision && known.read.since(theirs) >= by;
         known.revision > ask.revision || read
     };
     let mut changes = state.changes.subscribe();
-    let news = changes.wait_for(|known| newer(known, NEWS));
-    let _ = timeout(duration(ask.wait.min(MAX_WAIT)), news).await;
+    let news = changes.wait_for(|known| newer(known, MIN_AGE_GAIN));
+    let _ = timeout(duration(ask.wait.min(MAX_LONG_POLL_WAIT)), news).await;
     let known = *state.changes.borrow();
-    let newer = newer(&known, LITTLE);
+    let newer = newer(&known, MIN_AGE_GAIN_AFTER_WAIT);
     let (Some(secret), true) = (state.secret(epoch), newer) else {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     };
-    let payload = match packed(state, ask.revision) {
-        Some(pack) if pack.bytes() <= MAX_HANDED => {
+    let payload = match pack_since(state, ask.revision) {
+        Some(pack) if pack.bytes() <= MAX_PACK_BYTES => {
             let now = now();
             pack.encode(ask.nonce, now.since(known.read), now.since(came))
         }
@@ -198,23 +202,23 @@
 
 /// Packs what has changed since a revision; `None` where it is too much. The last pack is kept: after a
 /// change, all that follow it ask for the same.
-fn packed(state: &Shared, since: Revision) -> Option<Rc<Pack>> {
+fn pack_since(state: &Shared, since: Revision) -> Option<Rc<Pack>> {
     let until = state.mirror.borrow().revision();
-    if let Some(kept) = &*state.packed.borrow()
+    if let Some(kept) = &*state.cached_pack.borrow()
         && kept.since == since
         && kept.until == until
     {
         return Some(Rc::clone(&kept.pack));
     }
     let delta = state.mirror.borrow().since(since);
-    if delta.bytes() > MAX_PACKED {
+    if delta.bytes() > MAX_DELTA_BYTES {
         return None;
     }
     let pack = Pack::new(delta).inspect_err(|error| {
         tracing::error!(event = 658, %error, "changes can't be packed");
     });
     let pack = Rc::new(pack.ok()?);
-    state.packed.replace(Some(Packed {
+    state.cached_pack.replace(Some(CachedPack {
         since,
         until,
         pack: Rc::clone(&pack),
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -28,7 +28,7 @@
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long a connection is kept whose endpoint states no idle time: those state whole seconds, so
 /// theirs is less than one.
-const UNSTATED_IDLE: Millis = Millis(400);
+const DEFAULT_IDLE: Millis = Millis(400);
 /// By how much sooner than its endpoint a router gives up an idle connection, so that a request
 /// doesn't cross the close.
 const IDLE_MARGIN: Millis = Millis(350);
@@ -50,9 +50,9 @@
     pub fn take(&self, now: Time, endpoint: EndpointKey) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(&endpoint)?;
-        kept.retain(|i| now < i.until && !i.connection.closed());
-        let free = kept.iter().rposition(|i| i.connection.free())?;
-        Some(kept.remove(free).connection)
+        kept.retain(|i| now < i.until && !i.connection.is_closed());
+        let index = kept.iter().rposition(|i| i.connection.is_ready())?;
+        Some(kept.remove(index).connection)
     }
 
     /// Keeps a connection after a whole answer; `stated` is how long its endpoint keeps it idle.
@@ -63,7 +63,7 @@
         connection: Connection,
         stated: Option<Millis>,
     ) {
-        let keep = stated.map_or(UNSTATED_IDLE, |s| Millis(s.0.saturating_sub(IDLE_MARGIN.0)));
+        let keep = stated.map_or(DEFAULT_IDLE, |s| Millis(s.0.saturating_sub(IDLE_MARGIN.0)));
         let until = now + keep;
         let mut idle = self.idle.borrow_mut();
         let kept = idle.entry(endpoint).or_default();
@@ -74,7 +74,7 @@
     pub fn tick(&self, now: Time, listed: impl Fn(EndpointKey) -> bool) {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|endpoint, kept| {
-            kept.retain(|i| now < i.until && !i.connection.closed());
+            kept.retain(|i| now < i.until && !i.connection.is_closed());
             !kept.is_empty() && listed(*endpoint)
         });
     }
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -43,15 +43,15 @@
 };
 
 use crate::{
-    copies,
-    dialect::Dialect,
     errors::{
         ListenSnafu,
         Result,
         SignalsSnafu, //
     },
-    feed::Reader,
-    gossip, peers, reads, server,
+    feed::RegistryReader,
+    gossip, peer_follower, peers,
+    protocol::ProtocolAdapter,
+    reads, server,
     settings::Settings,
     state::{
         Phase,
@@ -63,17 +63,17 @@
 };
 
 /// How often the settings are read again without a signal.
-const RELOAD: Duration = Duration::from_secs(5);
+const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 /// How often what has waited is looked at.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a stopping process waits for callers on kept connections to send their next request,
 /// which is then answered as their last: two checks of a balancer that asks once a second, and
 /// the requests that come meanwhile.
-const LAST_REQUESTS: Duration = Duration::from_millis(3000);
+const LAST_REQUEST_WAIT: Duration = Duration::from_millis(3000);
 /// Time before the kill that a stopping process leaves unused.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
 /// How often a stopping process looks whether all connections have ended.
-const STOP_STEP: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs a gateway until a signal has stopped it; returns the requests that it cut.
 ///
@@ -84,26 +84,26 @@
 /// An address can't be listened on, or signals can't be watched.
 pub async fn run(
     settings: Settings,
-    dialect: Dialect,
-    reader: Reader,
+    protocol: ProtocolAdapter,
+    reader: RegistryReader,
     reload: impl Fn() -> Result<Settings, String>,
 ) -> Result<usize> {
     let local = LocalSet::new();
     local
-        .run_until(serve(settings, dialect, reader, reload))
+        .run_until(serve(settings, protocol, reader, reload))
         .await
 }
 
 async fn serve(
     mut settings: Settings,
-    dialect: Dialect,
-    reader: Reader,
+    protocol: ProtocolAdapter,
+    reader: RegistryReader,
     reload: impl Fn() -> Result<Settings, String>,
 ) -> Result<usize> {
     let mut term = signal(SignalKind::terminate()).context(SignalsSnafu)?;
     let mut hup = signal(SignalKind::hangup()).context(SignalsSnafu)?;
-    let process = start(settings.clone(), dialect, reader).await?;
-    let mut again = interval(RELOAD);
+    let process = start(settings.clone(), protocol, reader).await?;
+    let mut again = interval(RELOAD_INTERVAL);
     // Settings that stay bad are told of once.
     let mut refused = None;
     loop {
@@ -115,7 +115,7 @@
         match reload() {
             Ok(new) if new == settings => refused = None,
             Ok(new) => {
-                follow(&process.state, &settings, &new);
+                apply_settings(&process.state, &settings, &new);
                 settings = new;
                 refused = None;
             }
@@ -132,7 +132,7 @@
 
 /// Follows new settings. Addresses and the router's own names stay as they were at the start: callers and peers
 /// that hold them would else be cut.
-pub fn follow(state: &Shared, old: &Settings, new: &Settings) {
+pub fn apply_settings(state: &Shared, old: &Settings, new: &Settings) {
     let named = old.id != new.id || old.data_center != new.data_center;
     let moved = named || old.listen != new.listen || old.registry != new.registry;
     tracing::info!(event = 605, needs_restart = moved, "settings changed");
@@ -158,7 +158,11 @@
 /// # Errors
 ///
 /// An address can't be listened on.
-pub async fn start(settings: Settings, dialect: Dialect, reader: Reader) -> Result<Process> {
+pub async fn start(
+    settings: Settings,
+    protocol: ProtocolAdapter,
+    reader: RegistryReader,
+) -> Result<Process> {
     let listen = settings.listen;
     let checks = server::listen(listen.ready).await?;
     let callers = server::listen(listen.callers).await?;
@@ -185,7 +189,7 @@
     if !settings.first_start {
         gateway.restarted(now());
     }
-    let state = State::new(gateway, mesh, dialect, settings.registry);
+    let state = State::new(gateway, mesh, protocol, settings.registry);
     tracing::info!(
         event = 600,
         id = settings.id,
@@ -199,7 +203,7 @@
     spawn_local(peers::serve(state.clone(), peers));
     spawn_local(gossip::run(state.clone(), socket));
     spawn_local(reads::run(state.clone(), Rc::clone(&reader)));
-    spawn_local(copies::run(state.clone(), reader));
+    spawn_local(peer_follower::run(state.clone(), reader));
     spawn_local(tick(state.clone()));
     Ok(Process {
         state,
@@ -211,7 +215,7 @@
 
 async fn tick(state: Shared) {
     loop {
-        sleep(TICK).await;
+        sleep(TICK_INTERVAL).await;
         let gateway = state.gateway.borrow();
         let listed = |key| gateway.registry().get(key).is_some();
         state.pool.tick(now(), listed);
@@ -235,11 +239,11 @@
         .borrow_mut()
         .end_at(now(), now() + millis(left));
     state.phase.send_replace(Phase::Stopping);
-    sleep_until(last.min(began + LAST_REQUESTS)).await;
+    sleep_until(last.min(began + LAST_REQUEST_WAIT)).await;
     state.gateway.borrow_mut().close();
     state.phase.send_replace(Phase::Closing);
     while state.connections.get() > 0 && Instant::now() < last {
-        sleep(STOP_STEP).await;
+        sleep(STOP_POLL_INTERVAL).await;
     }
     let cut = state.requests.get();
     tracing::info!(event = 692, cut, "stopped");
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/protocol.rs
@@ -17,15 +17,15 @@
     units::Millis,
 };
 
-/// `Dialect` translates requests and answers. Its functions decide nothing and keep nothing.
+/// `ProtocolAdapter` translates requests and answers. Its functions decide nothing and keep nothing.
 #[derive(Clone, Copy, Debug)]
-pub struct Dialect {
+pub struct ProtocolAdapter {
     /// Reads a request's head; the error says what is wrong with it.
     pub ask: fn(&Parts) -> Result<Ask, &'static str>,
     /// Makes the head's fields for an endpoint.
-    pub forward: fn(&HeaderMap, &Forward<'_>) -> HeaderMap,
+    pub forward: fn(&HeaderMap, &ForwardContext<'_>) -> HeaderMap,
     /// Reads the head of an endpoint's answer.
-    pub reply: fn(&HeaderMap) -> Reply,
+    pub reply: fn(&HeaderMap) -> ReplyHead,
     /// Makes the head's fields for the caller.
     pub deliver: fn(&HeaderMap) -> HeaderMap,
     /// Makes the answer to a request that is given up; with the time after which it may come back.
@@ -34,15 +34,15 @@
     pub ready_path: &'static str,
 }
 
-/// `Forward` is what an endpoint is told besides the caller's own fields.
+/// `ForwardContext` is what an endpoint is told besides the caller's own fields.
 #[derive(Clone, Copy, Debug)]
-pub struct Forward<'a> {
+pub struct ForwardContext<'a> {
     /// Name of the endpoint that is meant.
     pub endpoint: &'a Bytes,
     /// Workspace of the caller.
     pub workspace: Option<&'a Bytes>,
     /// How long the answer is waited for.
-    pub left: Millis,
+    pub time_left: Millis,
     /// Rank; 0 goes first.
     pub priority: u8,
     /// Last event that the caller has, where an earlier attempt got that far.
@@ -53,9 +53,9 @@
     pub holder: Option<SocketAddrV4>,
 }
 
-/// `Reply` is what the head of an endpoint's answer says.
+/// `ReplyHead` is what the head of an endpoint's answer says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Reply {
+pub struct ReplyHead {
     /// Identity of the request that it answers.
     pub id: Option<Bytes>,
     /// Whether it bears the endpoint's signature.
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/proxied.rs
@@ -43,19 +43,19 @@
 use crate::{
     client::{
         Connection,
-        Sent, //
-    },
-    dialect::{
-        Forward,
-        Reply, //
+        SendOutcome, //
     },
     exchange::{
         Body,
-        MAX_ANSWER,
+        MAX_BUFFERED_ANSWER_BYTES,
         refuse, //
     },
     log::text,
     pool::Pool,
+    protocol::{
+        ForwardContext,
+        ReplyHead, //
+    },
     state::{
         Shared,
         now, //
@@ -64,11 +64,11 @@
 
 /// Longest wait for the body of an answer that says that nothing ran; its connection is kept if
 /// the body comes by then.
-const REJECTION_BODY: Duration = Duration::from_millis(50);
+const REJECTION_BODY_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// `Call` is one admitted request.
+/// `ProxiedRequest` is one admitted request.
 #[derive(Debug)]
-pub(crate) struct Call {
+pub(crate) struct ProxiedRequest {
     pub(crate) state: Shared,
     pub(crate) ask: Ask,
     pub(crate) ticket: Ticket,
@@ -79,37 +79,37 @@
     pub(crate) began: Time,
 }
 
-/// `Flight` is an attempt in progress. Dropping it tells the decisions that the caller left.
+/// `AttemptGuard` is an attempt in progress. Dropping it tells the decisions that the caller left.
 #[derive(Debug)]
-pub(crate) struct Flight {
+pub(crate) struct AttemptGuard {
     state: Shared,
     pub(crate) endpoint: EndpointKey,
-    open: bool,
+    active: bool,
 }
 
-impl Flight {
-    fn start(call: &mut Call, endpoint: EndpointKey) -> Self {
-        let mut gateway = call.state.gateway.borrow_mut();
-        gateway.sent(now(), &mut call.ticket, endpoint);
+impl AttemptGuard {
+    fn start(proxied: &mut ProxiedRequest, endpoint: EndpointKey) -> Self {
+        let mut gateway = proxied.state.gateway.borrow_mut();
+        gateway.sent(now(), &mut proxied.ticket, endpoint);
         drop(gateway);
         Self {
-            state: call.state.clone(),
+            state: proxied.state.clone(),
             endpoint,
-            open: true,
+            active: true,
         }
     }
 
     /// Ends the attempt.
-    pub(crate) fn end(mut self, call: &mut Call, fate: Fate) -> Next {
-        self.open = false;
-        let mut gateway = call.state.gateway.borrow_mut();
-        gateway.ended(now(), &mut call.ticket, self.endpoint, fate)
+    pub(crate) fn end(mut self, proxied: &mut ProxiedRequest, fate: Fate) -> Next {
+        self.active = false;
+        let mut gateway = proxied.state.gateway.borrow_mut();
+        gateway.ended(now(), &mut proxied.ticket, self.endpoint, fate)
     }
 }
 
-impl Drop for Flight {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        if self.open {
+        if self.active {
             self.state.metrics.count("attempts", "left");
             let mut gateway = self.state.gateway.borrow_mut();
             gateway.left(now(), self.endpoint);
@@ -121,13 +121,13 @@
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) head: http::response::Parts,
-    pub(crate) reply: Reply,
+    pub(crate) reply: ReplyHead,
     pub(crate) body: Incoming,
     pub(crate) connection: Connection,
-    pub(crate) flight: Flight,
+    pub(crate) guard: AttemptGuard,
 }
 
-impl Call {
+impl ProxiedRequest {
     /// Makes the call of an admitted request.
     pub(crate) fn new(
         state: Shared,
@@ -177,7 +177,7 @@
     }
 
     /// Gets the time until the final answer is due.
-    pub(crate) fn left(&self) -> Duration {
+    pub(crate) fn time_left(&self) -> Duration {
         Duration::from_millis(self.ticket.until.since(now()).0)
     }
 
@@ -186,7 +186,7 @@
         let mut gateway = self.state.gateway.borrow_mut();
         let limit = gateway.silence_timeout(now(), &self.ticket, begun);
         let limit = limit.map_or(Duration::MAX, |p| Duration::from_millis(p.0));
-        limit.min(self.left())
+        limit.min(self.time_left())
     }
 
     /// Makes attempts until one has an answer of the endpoint's own; `resume` is the last event
@@ -209,11 +209,11 @@
                 pool.keep(now(), placed.endpoint, connection, None);
                 continue;
             }
-            let (flight, fate, status) = match self.send(&placed, connection, resume).await {
+            let (guard, fate, status) = match self.send(&placed, connection, resume).await {
                 Ok(attempt) => return Ok(attempt),
                 Err(ended) => ended,
             };
-            if self.end(flight, fate, status) != Next::Again {
+            if self.end(guard, fate, status) != Next::Again {
                 return Err(self.given_up(fate.cause()));
             }
         }
@@ -251,9 +251,9 @@
         self.state.metrics.count("connections", "failed");
         let mut gateway = self.state.gateway.borrow_mut();
         let next = gateway.unreached(now(), &mut self.ticket, placed.endpoint);
-        if self.state.log.admits() {
+        if self.state.log.try_admit() {
             let id = text(&self.ask.id);
-            let endpoint = name(&gateway, placed.endpoint);
+            let endpoint = endpoint_name(&gateway, placed.endpoint);
             tracing::warn!(event = 612, %id, %endpoint, error, %next, "endpoint not reached");
         }
         Err(next)
@@ -264,46 +264,46 @@
         placed: &Placed,
         mut connection: Connection,
         resume: Option<u64>,
-    ) -> Result<Attempt, (Flight, Fate, Option<StatusCode>)> {
+    ) -> Result<Attempt, (AttemptGuard, Fate, Option<StatusCode>)> {
         if placed.cold {
             self.state.metrics.count("attempts", "cold");
         }
         let request = self.request(placed, resume);
-        let flight = Flight::start(self, placed.endpoint);
+        let guard = AttemptGuard::start(self, placed.endpoint);
         self.log_placed(placed);
         let sent = timeout(self.silence_timeout(false), connection.send(request)).await;
         let response = match sent {
-            Ok(Sent::Head(response)) => response,
-            Ok(Sent::Unsent) => return Err((flight, Fate::NotSent, None)),
-            Ok(Sent::Lost(error)) => {
+            Ok(SendOutcome::Head(response)) => response,
+            Ok(SendOutcome::Unsent) => return Err((guard, Fate::NotSent, None)),
+            Ok(SendOutcome::ConnectionLost(error)) => {
                 tracing::debug!(id = %text(&self.ask.id), %error, "no answer");
-                return Err((flight, Fate::Broken, None));
+                return Err((guard, Fate::Broken, None));
             }
-            Err(_) => return Err((flight, Fate::Stalled, None)),
+            Err(_) => return Err((guard, Fate::Stalled, None)),
         };
         let (head, body) = response.into_parts();
-        let reply = (self.state.dialect.reply)(&head.headers);
+        let reply = (self.state.protocol.reply)(&head.headers);
         let status = Some(head.status);
         if let Some(load) = reply.load {
             let mut gateway = self.state.gateway.borrow_mut();
             gateway.stated(now(), placed.endpoint, load);
         }
         if reply.id.as_ref() != Some(&self.ask.id) {
-            return Err((flight, Fate::Broken, status));
+            return Err((guard, Fate::Broken, status));
         }
         let misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
         if misdirected || reply.rejected {
-            self.reject(&flight, connection, body, &reply).await;
+            self.drain_rejection(&guard, connection, body, &reply).await;
             let fate = if misdirected {
                 Fate::Misdirected
             } else {
                 Fate::Rejected
             };
-            return Err((flight, fate, status));
+            return Err((guard, fate, status));
         }
         // Without its signature an answer is not the endpoint's, or not all of it.
         if !reply.sealed || reply.encoded {
-            return Err((flight, Fate::Broken, status));
+            return Err((guard, Fate::Broken, status));
         }
         // An endpoint that leaves ends its connections with each answer, and few others do.
         if !reply.closes {
@@ -315,25 +315,32 @@
             reply,
             body,
             connection,
-            flight,
+            guard,
         })
     }
 
     /// Holds an attempt's answer until it is whole, and ends the attempt; gives what follows, and the
     /// caller's answer or why there is none.
-    pub(crate) async fn hold(&mut self, attempt: Attempt) -> (Next, Result<Response<Body>, Fate>) {
+    pub(crate) async fn buffer_answer(
+        &mut self,
+        attempt: Attempt,
+    ) -> (Next, Result<Response<Body>, Fate>) {
         let Attempt {
             head,
             reply,
             body,
             connection,
-            flight,
+            guard,
         } = attempt;
-        let collected = timeout(self.left(), Limited::new(body, MAX_ANSWER).collect()).await;
-        let held = match collected {
+        let collected = timeout(
+            self.time_left(),
+            Limited::new(body, MAX_BUFFERED_ANSWER_BYTES).collect(),
+        )
+        .await;
+        let answer = match collected {
             Ok(Ok(body)) => {
-                self.keep(&flight, connection, &reply);
-                Ok(self.deliver(&head, Either::Left(Full::new(body.to_bytes()))))
+                self.keep_connection(&guard, connection, &reply);
+                Ok(self.caller_response(&head, Either::Left(Full::new(body.to_bytes()))))
             }
             Ok(Err(error)) => {
                 tracing::debug!(id = %text(&self.ask.id), %error, "answer broke off");
@@ -341,26 +348,42 @@
             }
             Err(_) => Err(Fate::Stalled),
         };
-        let fate = match &held {
+        let fate = match &answer {
             Ok(_) if head.status.is_server_error() => Fate::Failed,
             Ok(_) => Fate::Answered,
             Err(fate) => *fate,
         };
-        (self.end(flight, fate, Some(head.status)), held)
+        (self.end(guard, fate, Some(head.status)), answer)
     }
 
     /// Keeps the connection of a rejected attempt, if its short body comes at once.
-    async fn reject(&self, flight: &Flight, connection: Connection, body: Incoming, reply: &Reply) {
-        if let Ok(Ok(_)) = timeout(REJECTION_BODY, Limited::new(body, MAX_ANSWER).collect()).await {
-            self.keep(flight, connection, reply);
+    async fn drain_rejection(
+        &self,
+        guard: &AttemptGuard,
+        connection: Connection,
+        body: Incoming,
+        reply: &ReplyHead,
+    ) {
+        if let Ok(Ok(_)) = timeout(
+            REJECTION_BODY_TIMEOUT,
+            Limited::new(body, MAX_BUFFERED_ANSWER_BYTES).collect(),
+        )
+        .await
+        {
+            self.keep_connection(guard, connection, reply);
         }
     }
 
     /// Keeps a connection whose answer is whole.
-    pub(crate) fn keep(&self, flight: &Flight, connection: Connection, reply: &Reply) {
+    pub(crate) fn keep_connection(
+        &self,
+        guard: &AttemptGuard,
+        connection: Connection,
+        reply: &ReplyHead,
+    ) {
         if !reply.closes {
             let pool = &self.state.pool;
-            pool.keep(now(), flight.endpoint, connection, reply.idle);
+            pool.keep(now(), guard.endpoint, connection, reply.idle);
         }
     }
 
@@ -369,10 +392,10 @@
         let named = gateway.registry().get(placed.endpoint);
         let holder = placed.holder.and_then(|h| gateway.registry().get(h));
         let nobody = Bytes::new();
-        let forward = Forward {
+        let forward = ForwardContext {
             endpoint: named.map_or(&nobody, |e| &e.entry.id),
             workspace: self.ticket.workspace.as_ref().map(|w| &w.name),
-            left: self.ticket.until.since(now()),
+            time_left: self.ticket.until.since(now()),
             priority: self.ticket.priority,
             resume,
             generates: self.ask.prompt.is_some(),
@@ -381,12 +404,17 @@
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = origin_form(&self.uri);
-        *request.headers_mut() = (self.state.dialect.forward)(&self.headers, &forward);
+        *request.headers_mut() = (self.state.protocol.forward)(&self.headers, &forward);
         request
     }
 
     /// Ends an attempt, with its line in the log.
-    pub(crate) fn end(&mut self, flight: Flight, fate: Fate, status: Option<StatusCode>) -> Next {
+    pub(crate) fn end(
+        &mut self,
+        guard: AttemptGuard,
+        fate: Fate,
+        status: Option<StatusCode>,
+    ) -> Next {
         match fate {
             Fate::Broken if self.ticket.content.is_none() => self.fingerprint(),
             Fate::Answered | Fate::Failed => {
@@ -396,21 +424,21 @@
             _ => {}
         }
         self.identify();
-        let endpoint = flight.endpoint;
-        let next = flight.end(self, fate);
+        let endpoint = guard.endpoint;
+        let next = guard.end(self, fate);
         let took = now().since(self.began);
         let service = text(&self.ticket.service).into_owned();
         self.state.metrics.count("attempts", &fate.to_string());
         if fate == Fate::Answered {
             self.state.metrics.time("answer", &service, took);
         }
-        if self.state.log.admits() {
+        if self.state.log.try_admit() {
             let status = status.map_or(0, |s| s.as_u16());
             let gateway = self.state.gateway.borrow();
             tracing::info!(
                 event = 611,
                 id = %text(&self.ask.id),
-                endpoint = %name(&gateway, endpoint),
+                endpoint = %endpoint_name(&gateway, endpoint),
                 attempt = self.ticket.tried.len(),
                 %fate,
                 status,
@@ -433,10 +461,14 @@
     }
 
     /// Makes the caller's answer from an endpoint's.
-    pub(crate) fn deliver(&self, head: &http::response::Parts, body: Body) -> Response<Body> {
+    pub(crate) fn caller_response(
+        &self,
+        head: &http::response::Parts,
+        body: Body,
+    ) -> Response<Body> {
         let mut response = Response::new(body);
         *response.status_mut() = head.status;
-        *response.headers_mut() = (self.state.dialect.deliver)(&head.headers);
+        *response.headers_mut() = (self.state.protocol.deliver)(&head.headers);
         response
     }
 
@@ -445,7 +477,7 @@
         let now = now();
         let verdict = gateway.verdict(now, &self.ticket);
         let (Some(content), Some(verdict), true) =
-            (self.ticket.content, verdict, self.state.log.admits())
+            (self.ticket.content, verdict, self.state.log.try_admit())
         else {
             return;
         };
@@ -468,7 +500,7 @@
     }
 
     fn log_placed(&self, placed: &Placed) {
-        if !self.state.log.admits() {
+        if !self.state.log.try_admit() {
             return;
         }
         let gateway = self.state.gateway.borrow();
@@ -479,11 +511,11 @@
             route = %text(&self.ticket.route.name),
             version = self.ticket.version,
             age,
-            endpoint = %name(&gateway, placed.endpoint),
+            endpoint = %endpoint_name(&gateway, placed.endpoint),
             load = placed.load,
             limit = f64::from(placed.limit),
             rank = placed.rank,
-            holder = placed.holder.map(|h| name(&gateway, h)),
+            holder = placed.holder.map(|h| endpoint_name(&gateway, h)),
             cold = placed.cold,
             attempt = self.ticket.tried.len(),
             left = self.ticket.until.since(now()).0,
@@ -492,7 +524,7 @@
     }
 }
 
-fn name(gateway: &Gateway, endpoint: EndpointKey) -> String {
+fn endpoint_name(gateway: &Gateway, endpoint: EndpointKey) -> String {
     let found = gateway.registry().get(endpoint);
     found.map_or_else(|| "gone".to_owned(), |e| text(&e.entry.id).into_owned())
 }
--- a/crates/gateway/src/reads.rs
+++ b/crates/gateway/src/reads.rs
@@ -43,14 +43,14 @@
 use crate::{
     client::{
         self,
-        Link,
-        Times, //
+        HttpClient,
+        Timeouts, //
     },
     feed::{
         self,
-        Read,
-        Reader,
-        Step, //
+        RegistryRead,
+        RegistryReader,
+        RegistryStep, //
     },
     state::{
         Shared,
@@ -60,19 +60,19 @@
 };
 
 /// Longest wait for a connection to the registry.
-const OPEN: Duration = Duration::from_millis(900);
+const REGISTRY_CONNECT_TIMEOUT: Duration = Duration::from_millis(900);
 /// Longest wait for the next piece of an answer that has begun.
-const PIECE: Duration = Duration::from_millis(900);
+const BODY_FRAME_TIMEOUT: Duration = Duration::from_millis(900);
 /// Longest wait for the first piece of what is newer, where the registry answers at once: it has it already,
 /// but a watch may hear nothing of it, and everything is read in its place.
-const WATCH_PATIENCE: Millis = Millis(700);
+const WATCH_HEAD_MARGIN: Millis = Millis(700);
 /// Longest time of an answer whose bytes come. A configuration of over a megabyte takes seconds on a narrow link,
 /// and a read that is cut begins anew.
-const WHOLE: Duration = Duration::from_secs(4);
+const BODY_TIMEOUT: Duration = Duration::from_secs(4);
 /// Reads that fail in a row after which the registry counts as lost: one may be lost on the way.
-const LOST: u32 = 2;
+const FAILURES_UNTIL_LOST: u32 = 2;
 /// Connections to the registry that are kept open between reads.
-const KEPT: usize = 2;
+const MAX_KEPT_CONNECTIONS: usize = 2;
 
 #[derive(Debug, Snafu)]
 enum Error {
@@ -83,37 +83,37 @@
     #[snafu(display("{why}"))]
     Body { why: String },
     #[snafu(display("the call that was made ahead has ended"))]
-    Ahead,
+    SpeculativeCallEnded,
 }
 
-/// `Ended` is a read that has ended.
-struct Ended {
+/// `FinishedRead` is a read that has ended.
+struct FinishedRead {
     number: ReadId,
     sent: Time,
     calls: u32,
     /// Its connection, unless something was wrong with it.
-    link: Option<Link>,
+    http_client: Option<HttpClient>,
     /// Whether the next read had better begin with everything.
-    anew: bool,
+    restart: bool,
     result: Result<Delta, Error>,
 }
 
-/// `Reads` is the reads under way.
-struct Reads {
-    running: JoinSet<Ended>,
-    handles: IndexMap<ReadId, AbortHandle>,
-    kept: Vec<Link>,
+/// `RegistryReads` is the reads under way.
+struct RegistryReads {
+    running: JoinSet<FinishedRead>,
+    abort_handles: IndexMap<ReadId, AbortHandle>,
+    idle_clients: Vec<HttpClient>,
     /// Whether the next read begins with everything, as changes could not be told.
-    anew: bool,
+    restart: bool,
 }
 
 /// Reads the registry for good.
-pub(crate) async fn run(state: Shared, reader: Rc<Reader>) {
-    let mut reads = Reads {
+pub(crate) async fn run(state: Shared, reader: Rc<RegistryReader>) {
+    let mut reads = RegistryReads {
         running: JoinSet::new(),
-        handles: IndexMap::new(),
-        kept: Vec::new(),
-        anew: false,
+        abort_handles: IndexMap::new(),
+        idle_clients: Vec::new(),
+        restart: false,
     };
     loop {
         let (standing, pace) = (standing(&state), pace(&state));
@@ -152,45 +152,50 @@
     state.gateway.borrow().bounds().pace()
 }
 
-impl Reads {
-    fn begin(&mut self, state: &Shared, reader: &Rc<Reader>, pace: &ReadTiming) {
+impl RegistryReads {
+    fn begin(&mut self, state: &Shared, reader: &Rc<RegistryReader>, pace: &ReadTiming) {
         let sent = now();
         // A router that knows no configuration reads everything: that is one call, as long as it is little.
         let has_configuration = state.gateway.borrow().catalog().is_some();
-        let told = has_configuration && !self.anew;
-        let held = told.then(|| state.mirror.borrow().revision());
+        let incremental = has_configuration && !self.restart;
+        let held = incremental.then(|| state.mirror.borrow().revision());
         let read = (reader.begin)(held);
-        let link = self.kept.pop().unwrap_or_else(|| Link::new(state.registry));
+        let http_client = self
+            .idle_clients
+            .pop()
+            .unwrap_or_else(|| HttpClient::new(state.registry));
         let mut reading = state.reading.borrow_mut();
         let number = reading.begin(sent);
-        let ahead = read
-            .ahead
+        let speculative_path = read
+            .speculative_path
             .clone()
             .filter(|_| reading.calls_in_parallel(sent, pace));
-        let made = Made {
+        let running = RunningRead {
             state: state.clone(),
             number,
             sent,
             answer_timeout: duration(ReadScheduler::answer_timeout(pace)),
             calls: 0,
-            anew: false,
+            restart: false,
         };
         drop(reading);
-        let handle = self.running.spawn_local(made.run(link, read, ahead));
-        self.handles.insert(number, handle);
+        let handle = self
+            .running
+            .spawn_local(running.run(http_client, read, speculative_path));
+        self.abort_handles.insert(number, handle);
     }
 
-    fn end(&mut self, state: &Shared, ended: Ended, reader: &Reader) {
-        self.handles.swap_remove(&ended.number);
+    fn end(&mut self, state: &Shared, ended: FinishedRead, reader: &RegistryReader) {
+        self.abort_handles.swap_remove(&ended.number);
         let took = now().since(ended.sent);
         let standing = standing(state);
         let calls = ended.calls;
         let by = standing.role();
-        self.anew = ended.anew;
+        self.restart = ended.restart;
         match ended.result {
             Ok(delta) => {
                 let failures = state.reading.borrow().failures();
-                if failures >= LOST {
+                if failures >= FAILURES_UNTIL_LOST {
                     tracing::info!(event = 652, failures, "registry regained");
                 }
                 let revision = delta.revision.0;
@@ -206,25 +211,25 @@
                 state.metrics.count("registry", "read");
                 state.metrics.time("read", "registry", took);
                 feed::apply(state, ended.sent, delta, Mirror::apply, reader);
-                let older = state.reading.borrow_mut().whole(ended.number);
-                for number in older {
-                    if let Some(handle) = self.handles.swap_remove(&number) {
+                let superseded = state.reading.borrow_mut().whole(ended.number);
+                for number in superseded {
+                    if let Some(handle) = self.abort_handles.swap_remove(&number) {
                         state.metrics.count("registry", "given up");
                         handle.abort();
                     }
                 }
-                self.kept.extend(ended.link);
-                self.kept.truncate(KEPT);
+                self.idle_clients.extend(ended.http_client);
+                self.idle_clients.truncate(MAX_KEPT_CONNECTIONS);
             }
             Err(error) => {
                 // Whatever was wrong with it, the next read begins on a new connection.
-                self.kept.clear();
+                self.idle_clients.clear();
                 state.read_failed();
                 state.metrics.count("registry", "failed");
                 let draw = state.gateway.borrow_mut().draw();
                 let mut reading = state.reading.borrow_mut();
                 let failures = reading.failed(now(), ended.number, &standing, draw);
-                if failures == LOST {
+                if failures == FAILURES_UNTIL_LOST {
                     state.reads.set(false);
                     tracing::warn!(event = 651, %by, calls, took = took.0, %error, "registry lost");
                 }
@@ -233,26 +238,31 @@
     }
 }
 
-/// `Made` is the calls of one read.
-struct Made {
+/// `RunningRead` is the calls of one read.
+struct RunningRead {
     state: Shared,
     number: ReadId,
     sent: Time,
     answer_timeout: Duration,
     calls: u32,
-    anew: bool,
+    restart: bool,
 }
 
-impl Made {
-    async fn run(mut self, mut link: Link, read: Read, ahead: Option<String>) -> Ended {
-        let ahead = ahead.map(|path| self.call_ahead(path));
-        let result = self.calls(&mut link, read, ahead).await;
-        Ended {
+impl RunningRead {
+    async fn run(
+        mut self,
+        mut http_client: HttpClient,
+        read: RegistryRead,
+        speculative_path: Option<String>,
+    ) -> FinishedRead {
+        let speculative = speculative_path.map(|path| self.start_speculative_call(path));
+        let result = self.calls(&mut http_client, read, speculative).await;
+        FinishedRead {
             number: self.number,
             sent: self.sent,
             calls: self.calls,
-            link: result.is_ok().then_some(link),
-            anew: self.anew && result.is_err(),
+            http_client: result.is_ok().then_some(http_client),
+            restart: self.restart && result.is_err(),
             result,
         }
     }
@@ -260,72 +270,76 @@
     /// Makes the calls of the read; gets what has changed.
     async fn calls(
         &mut self,
-        link: &mut Link,
-        mut read: Read,
-        mut ahead: Option<Ahead>,
+        http_client: &mut HttpClient,
+        mut read: RegistryRead,
+        mut speculative: Option<SpeculativeCall>,
     ) -> Result<Delta, Error> {
         let mut path = read.path.clone();
         let mut watches = false;
         loop {
-            let made = ahead.take_if(|ahead| ahead.path == path);
-            let called = match made {
-                Some(mut ahead) => (&mut ahead.call).await.map_err(|_| Error::Ahead)?,
-                None => self.call(link, &path, watches).await,
+            let started = speculative.take_if(|call| call.path == path);
+            let called = match started {
+                Some(mut speculative) => (&mut speculative.call)
+                    .await
+                    .map_err(|_| Error::SpeculativeCallEnded)?,
+                None => self.call(http_client, &path, watches).await,
             };
             let body = match called {
-                Err(error) if watches && deaf(&error) => {
+                Err(error) if watches && watch_unserved(&error) => {
                     watches = false;
-                    read = (read.anew)();
+                    read = (read.restart)();
                     path = read.path.clone();
                     continue;
                 }
                 called => called?,
             };
             // Whatever was wrong with an answer, what it should have told can't be asked for again.
-            self.anew = true;
-            match (read.took)(&body).map_err(|why| Error::Body { why })? {
-                Step::More(next) => {
+            self.restart = true;
+            match (read.on_body)(&body).map_err(|why| Error::Body { why })? {
+                RegistryStep::More(next) => {
                     watches = false;
                     path = next;
                 }
-                Step::Newer(next) => {
+                RegistryStep::Newer(next) => {
                     self.state.gateway.borrow_mut().outdated(self.sent);
                     watches = true;
                     path = next;
                 }
-                Step::Whole(delta) => return Ok(delta),
+                RegistryStep::Whole(delta) => return Ok(delta),
             }
         }
     }
 
     async fn call(
         &mut self,
-        link: &mut Link,
+        http_client: &mut HttpClient,
         path: &str,
         watches: bool,
     ) -> Result<bytes::Bytes, Error> {
         self.calls += 1;
         let usual_latency = self.state.reading.borrow().usual_latency();
-        let first = match watches {
-            true => duration(usual_latency + usual_latency + WATCH_PATIENCE),
+        let head = match watches {
+            true => duration(usual_latency + usual_latency + WATCH_HEAD_MARGIN),
             false => self.answer_timeout,
         };
         let request = request(path)?;
         let answer_started = || self.answer_started();
-        Ok(link.call(request, times(first), &answer_started).await?)
+        Ok(http_client
+            .call(request, timeouts(head), &answer_started)
+            .await?)
     }
 
     /// Makes a call at the same time as the read's first one, on a connection of its own.
-    fn call_ahead(&mut self, path: String) -> Ahead {
+    fn start_speculative_call(&mut self, path: String) -> SpeculativeCall {
         self.calls += 1;
-        let mut link = Link::new(self.state.registry);
-        let times = times(self.answer_timeout);
-        let made = path.clone();
+        let mut http_client = HttpClient::new(self.state.registry);
+        let timeouts = timeouts(self.answer_timeout);
+        let call_path = path.clone();
         let call = spawn_local(async move {
-            let request = request(&made)?;
-            Ok(link.call(request, times, &|| ()).await?)
+            let request = request(&call_path)?;
+            Ok(http_client.call(request, timeouts, &|| ()).await?)
         });
-        Ahead { path, call }
+        SpeculativeCall { path, call }
     }
 
     fn answer_started(&self) {
@@ -334,24 +348,24 @@
     }
 }
 
-/// `Ahead` is a call that was made before its turn; dropping it gives it up.
-struct Ahead {
+/// `SpeculativeCall` is a call that was made before its turn; dropping it gives it up.
+struct SpeculativeCall {
     path: String,
     call: JoinHandle<Result<bytes::Bytes, Error>>,
 }
 
-impl Drop for Ahead {
+impl Drop for SpeculativeCall {
     fn drop(&mut self) {
         self.call.abort();
     }
 }
 
 /// Tells whether a watch hears nothing of what the registry has: it says nothing, or that its history is gone.
-fn deaf(error: &Error) -> bool {
+fn watch_unserved(error: &Error) -> bool {
     matches!(
         error,
         Error::Call {
-            source: client::Error::Late { received: 0 }
+            source: client::Error::ResponseTimeout { received: 0 }
                 | client::Error::Status {
                     status: StatusCode::GONE
                 }
@@ -359,12 +373,12 @@
     )
 }
 
-fn times(first: Duration) -> Times {
-    Times {
-        open: OPEN,
-        first,
-        piece: PIECE,
-        whole: first + WHOLE,
+fn timeouts(head: Duration) -> Timeouts {
+    Timeouts {
+        connect: REGISTRY_CONNECT_TIMEOUT,
+        head,
+        body_frame: BODY_FRAME_TIMEOUT,
+        total: head + BODY_TIMEOUT,
     }
 }
 
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -28,26 +28,26 @@
 };
 
 use crate::{
-    call::{
-        Attempt,
-        Call, //
-    },
-    events::Cutter,
     exchange::{
         Body,
-        Broken, //
+        BodyAborted, //
+    },
+    proxied::{
+        Attempt,
+        ProxiedRequest, //
     },
+    sse::EventSplitter,
 };
 
 /// `Relay` is a stream in progress.
 struct Relay {
-    call: Call,
+    proxied: ProxiedRequest,
     attempt: Option<Attempt>,
-    cutter: Cutter,
+    events: EventSplitter,
     /// Last event that the caller has.
     last: Option<u64>,
     /// Whether the caller has an event.
-    begun: bool,
+    event_delivered: bool,
     /// Whether another endpoint has gone on.
     resumed: bool,
 }
@@ -67,26 +67,26 @@
 ///
 /// The head goes out with the first event: until then another endpoint can be tried, and the
 /// caller can be told what became of its request.
-pub(crate) async fn answer(mut call: Call) -> Response<Body> {
-    let mut last = call.ask.resume;
+pub(crate) async fn answer(mut proxied: ProxiedRequest) -> Response<Body> {
+    let mut last = proxied.ask.resume;
     loop {
-        let attempt = match call.start(None).await {
+        let attempt = match proxied.start(None).await {
             Ok(attempt) => attempt,
-            Err(refusal) => return call.refuse(refusal),
+            Err(refusal) => return proxied.refuse(refusal),
         };
         if !attempt.head.status.is_success() {
-            return failure(call, attempt).await;
+            return failure(proxied, attempt).await;
         }
         let head = attempt.head.clone();
         let mut relay = Relay {
-            call,
+            proxied,
             attempt: Some(attempt),
-            cutter: Cutter::default(),
+            events: EventSplitter::default(),
             last,
-            begun: false,
+            event_delivered: false,
             resumed: false,
         };
-        match relay.piece().await {
+        match relay.next_piece().await {
             Piece::Bytes(first) => return relay.respond(head, Some(first)),
             Piece::End => {
                 relay.finish();
@@ -96,9 +96,9 @@
                 let fate = ended.fate();
                 let next = relay.end(fate);
                 last = relay.last;
-                call = relay.call;
+                proxied = relay.proxied;
                 if next != Next::Again {
-                    return call.refuse(call.given_up(fate.cause()));
+                    return proxied.refuse(proxied.given_up(fate.cause()));
                 }
             }
         }
@@ -116,11 +116,11 @@
 }
 
 /// Hands on an endpoint's own failure, which is no stream.
-async fn failure(mut call: Call, attempt: Attempt) -> Response<Body> {
-    match call.hold(attempt).await {
-        (Next::Again, Ok(_)) => Box::pin(answer(call)).await,
+async fn failure(mut proxied: ProxiedRequest, attempt: Attempt) -> Response<Body> {
+    match proxied.buffer_answer(attempt).await {
+        (Next::Again, Ok(_)) => Box::pin(answer(proxied)).await,
         (_, Ok(response)) => response,
-        (_, Err(_)) => call.refuse(call.given_up(Fate::Broken.cause())),
+        (_, Err(_)) => proxied.refuse(proxied.given_up(Fate::Broken.cause())),
     }
 }
 
@@ -130,44 +130,46 @@
         // Another endpoint may go on, and its part is not in the first one's length.
         head.headers.remove(header::CONTENT_LENGTH);
         let whole = self.attempt.is_none();
-        let response = self.call.deliver(&head, Either::Left(Full::default()));
+        let response = self
+            .proxied
+            .caller_response(&head, Either::Left(Full::default()));
         let start = futures_util::stream::iter(first.map(|b| Ok(Frame::data(b))));
-        let rest = unfold(Some(self), |relay| async move { step(relay?).await });
+        let remaining = unfold(Some(self), |relay| async move { step(relay?).await });
         let body = if whole {
             start.boxed_local()
         } else {
-            start.chain(rest).boxed_local()
+            start.chain(remaining).boxed_local()
         };
         response.map(|_| Either::Right(StreamBody::new(body)))
     }
 
     /// Gets the next whole event, or what ended the endpoint's answer.
-    async fn piece(&mut self) -> Piece {
+    async fn next_piece(&mut self) -> Piece {
         loop {
-            while let Some(event) = self.cutter.cut() {
+            while let Some(event) = self.events.next_event() {
                 let seen = event.id.is_some() && event.id <= self.last;
                 if !seen {
                     self.last = event.id.or(self.last);
-                    self.begun = true;
+                    self.event_delivered = true;
                     return Piece::Bytes(event.bytes);
                 }
             }
-            let left = self.call.silence_timeout(self.begun);
+            let left = self.proxied.silence_timeout(self.event_delivered);
             let Some(attempt) = &mut self.attempt else {
                 return Piece::End;
             };
-            if left == Duration::ZERO || self.cutter.overlong() {
+            if left == Duration::ZERO || self.events.is_overlong() {
                 return Piece::Late;
             }
             match timeout(left, attempt.body.frame()).await {
                 Ok(Some(Ok(frame))) => {
                     if let Ok(data) = frame.into_data() {
-                        self.cutter.push(&data);
+                        self.events.push(&data);
                     }
                 }
                 // What goes on with a stream is events; half of one, or another body, would make it look complete.
-                Ok(None) if self.cutter.torn() && self.resumed => return Piece::Broken,
-                Ok(None) if self.cutter.torn() => return Piece::Bytes(self.cutter.rest()),
+                Ok(None) if self.events.has_partial() && self.resumed => return Piece::Broken,
+                Ok(None) if self.events.has_partial() => return Piece::Bytes(self.events.rest()),
                 Ok(None) => return Piece::End,
                 Ok(Some(Err(error))) => {
                     tracing::debug!(%error, "stream broke off");
@@ -182,38 +184,39 @@
     fn finish(&mut self) {
         if let Some(attempt) = self.attempt.take() {
             let status = attempt.head.status;
-            self.call
-                .keep(&attempt.flight, attempt.connection, &attempt.reply);
-            self.call.end(attempt.flight, Fate::Answered, Some(status));
+            self.proxied
+                .keep_connection(&attempt.guard, attempt.connection, &attempt.reply);
+            self.proxied
+                .end(attempt.guard, Fate::Answered, Some(status));
         }
     }
 
     /// Ends the attempt, which closes its connection: the endpoint stops before another goes on.
     fn end(&mut self, fate: Fate) -> Next {
-        self.cutter = Cutter::default();
+        self.events = EventSplitter::default();
         let Some(attempt) = self.attempt.take() else {
             return Next::GiveUp;
         };
         drop(attempt.connection);
         let status = attempt.head.status;
-        self.call.end(attempt.flight, fate, Some(status))
+        self.proxied.end(attempt.guard, fate, Some(status))
     }
 
     /// Goes on at another endpoint after the last event; returns whether one does.
     async fn resume(&mut self) -> bool {
         let resumable = matches!(
-            self.call.ticket.route.kind,
+            self.proxied.ticket.route.kind,
             Kind::Stream { resumable: true }
         );
         let Some(last) = self.last.filter(|_| resumable) else {
             return false;
         };
-        let Ok(attempt) = self.call.start(Some(last)).await else {
+        let Ok(attempt) = self.proxied.start(Some(last)).await else {
             return false;
         };
         if !attempt.head.status.is_success() {
             let status = attempt.head.status;
-            self.call.end(attempt.flight, Fate::Failed, Some(status));
+            self.proxied.end(attempt.guard, Fate::Failed, Some(status));
             return false;
         }
         self.attempt = Some(attempt);
@@ -222,11 +225,11 @@
     }
 }
 
-type Step = Option<(Result<Frame<Bytes>, Broken>, Option<Relay>)>;
+type StreamStep = Option<(Result<Frame<Bytes>, BodyAborted>, Option<Relay>)>;
 
-async fn step(mut relay: Relay) -> Step {
+async fn step(mut relay: Relay) -> StreamStep {
     loop {
-        match relay.piece().await {
+        match relay.next_piece().await {
             Piece::Bytes(bytes) => return Some((Ok(Frame::data(bytes)), Some(relay))),
             Piece::End => {
                 relay.finish();
@@ -234,7 +237,7 @@
             }
             ended @ (Piece::Broken | Piece::Late) => {
                 if relay.end(ended.fate()) != Next::Again || !relay.resume().await {
-                    return Some((Err(Broken), None));
+                    return Some((Err(BodyAborted), None));
                 }
             }
         }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -39,11 +39,11 @@
         Result, //
     },
     exchange,
-    pace::{
-        Answering,
-        Open,
-        Pace,
-        Paced, //
+    head_timeout::{
+        ConnectionProgress,
+        HeadTimeoutStream,
+        OpenRequest,
+        TrackedBody, //
     },
     state::{
         Phase,
@@ -54,12 +54,12 @@
 /// Pause after a connection could not be accepted, as when descriptors ran out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// Longest time that a connection of the balancer or a peer stays idle; they ask several times within.
-const SHORT_IDLE: Duration = Duration::from_secs(30);
+const INTERNAL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time after its last answer from which on a caller's connection is closed: the time that callers are
 /// told, and one second for a request on its way.
-const CALLER_IDLE: Duration = Duration::from_secs(exchange::KEEP_S + 1);
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(exchange::KEEP_ALIVE_S + 1);
 /// Least buffer that the library takes.
-const MIN_BUFFER: usize = 8192;
+const MIN_BUFFER_BYTES: usize = 8192;
 
 /// Listens on an address.
 ///
@@ -100,19 +100,19 @@
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(limits.idle.0))
-        .max_header_size(limits.head.max(MIN_BUFFER));
+        .max_header_size(limits.head.max(MIN_BUFFER_BYTES));
     let shared = state.clone();
-    let pace = Rc::new(Pace::new(&state.requests));
+    let progress = Rc::new(ConnectionProgress::new(&state.requests));
     let head_time = Duration::from_millis(limits.head_time.0);
-    let stream = Paced::new(stream, &pace, head_time);
-    let requests = Rc::clone(&pace);
+    let stream = HeadTimeoutStream::new(stream, &progress, head_time);
+    let requests = Rc::clone(&progress);
     let service = service_fn(move |request| {
-        let open = Open::new(&requests);
+        let open = OpenRequest::new(&requests);
         // In a box, as the library keeps room for one in each connection, also while it is idle.
         let answer = Box::pin(exchange::serve(shared.clone(), request));
         async move {
             let answer: Result<_, Infallible> = answer.await;
-            answer.map(|answer| answer.map(|body| Answering { body, _open: open }))
+            answer.map(|answer| answer.map(|body| TrackedBody { body, _open: open }))
         }
     });
     let connection = builder.serve_connection(TokioIo::new(stream), service);
@@ -128,7 +128,7 @@
                 closing = true;
                 connection.as_mut().graceful_shutdown();
             }
-            () = pace.idle_for(CALLER_IDLE), if !closing => {
+            () = progress.idle_for(CALLER_IDLE_TIMEOUT), if !closing => {
                 closing = true;
                 connection.as_mut().graceful_shutdown();
             }
@@ -164,7 +164,7 @@
             let mut builder = http1::Builder::new();
             builder
                 .timer(TokioTimer::new())
-                .header_read_timeout(SHORT_IDLE);
+                .header_read_timeout(INTERNAL_IDLE_TIMEOUT);
             let served = builder.serve_connection(TokioIo::new(stream), service);
             if let Err(error) = served.await {
                 tracing::debug!(%error, "connection ended");
@@ -178,7 +178,7 @@
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let path = request.uri().path();
-    let (status, text) = if path == state.dialect.ready_path {
+    let (status, text) = if path == state.protocol.ready_path {
         match state.ready() {
             true => (StatusCode::OK, String::new()),
             false => (StatusCode::SERVICE_UNAVAILABLE, String::new()),
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -23,22 +23,22 @@
 
 /// Part of a bound on the age of keys and routes that is left for what passes between the check and the
 /// endpoint's start, and for clocks that drift: a twentieth.
-const PROOF_MARGIN: u64 = 20;
+const PROOF_MARGIN_DIVISOR: u64 = 20;
 /// The same of the bound on endpoints that leave, which counts until a request reaches one: a tenth, as a VM whose
 /// quota is used up stands still for a while between the check and the sending.
-const STAYING_MARGIN: u64 = 10;
+const STAYING_MARGIN_DIVISOR: u64 = 10;
 /// Reads of the registry within the shortest bound on changes: one may be lost, one be slow.
 const READS_PER_BOUND: u64 = 3;
 /// Reads whose time must have passed without a proof before the registry counts as away, and how much longer:
 /// one may be lost, and one be on its way by a peer.
-const AWAY_READS: u64 = 3;
-const AWAY_LONGER: Millis = Millis(500);
+const REGISTRY_AWAY_READS: u64 = 3;
+const REGISTRY_AWAY_EXTRA: Millis = Millis(500);
 /// Routers among which the fleet's extra retries are divided while their number is not known.
-const UNKNOWN_FLEET: u32 = 16;
+const ASSUMED_FLEET_SIZE: u32 = 16;
 /// Seconds for which a request that has crashed endpoints is held back at first, unless the settings say otherwise.
-const HOLD_S: f64 = 5.0;
+const DEFAULT_HOLD_S: f64 = 5.0;
 /// Part of the published share of retries that is used: windows of routers are not aligned.
-const RETRY_MARGIN: f64 = 0.8;
+const RETRY_SHARE_USED: f64 = 0.8;
 
 /// `Settings` is the settings file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -60,12 +60,12 @@
     #[serde(default)]
     pub first_start: bool,
     /// Bounds to keep.
-    pub bounds: Promises,
+    pub bounds: PublishedBounds,
 }
 
 /// Gets the seconds for which requests are held back where the settings don't say.
 fn hold_s() -> f64 {
-    HOLD_S
+    DEFAULT_HOLD_S
 }
 
 /// Gets the multiple of a cold endpoint's rate where the settings don't say.
@@ -85,10 +85,10 @@
     pub peers: SocketAddrV4,
 }
 
-/// `Promises` is the bounds that operators publish for the place where the router runs.
+/// `PublishedBounds` is the bounds that operators publish for the place where the router runs.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Promises {
+pub struct PublishedBounds {
     /// Milliseconds within which a change of the configuration is in force.
     pub config_ms: u64,
     /// Milliseconds after which a key that was taken away opens nothing.
@@ -151,7 +151,7 @@
     }
 }
 
-impl Promises {
+impl PublishedBounds {
     fn check(&self) -> Result<(), Error> {
         let times = [
             ("config_ms", self.config_ms),
@@ -193,7 +193,7 @@
     }
 
     /// Gets the time between reads of the registry.
-    pub fn pace(&self) -> Millis {
+    pub fn read_interval(&self) -> Millis {
         let evacuation = self.evacuation_ms.unwrap_or(u64::MAX);
         Millis(self.config_ms.min(self.leaving_ms).min(evacuation) / READS_PER_BOUND)
     }
@@ -206,21 +206,21 @@
     )]
     pub fn bounds(&self) -> Bounds {
         let millis = |seconds: f64| Millis((seconds * 1000.0) as u64);
-        let proven = |bound: u64| Millis(bound - bound / PROOF_MARGIN);
+        let proven = |bound: u64| Millis(bound - bound / PROOF_MARGIN_DIVISOR);
         Bounds {
             keys: proven(self.revoke_ms),
             routes: proven(self.config_ms),
             evacuation: self.evacuation_ms.map(proven),
-            staying: Millis(self.leaving_ms - self.leaving_ms / STAYING_MARGIN),
-            read_every: self.pace(),
-            away: Millis(self.pace().0 * AWAY_READS) + AWAY_LONGER,
+            staying: Millis(self.leaving_ms - self.leaving_ms / STAYING_MARGIN_DIVISOR),
+            read_every: self.read_interval(),
+            away: Millis(self.read_interval().0 * REGISTRY_AWAY_READS) + REGISTRY_AWAY_EXTRA,
             lapse: millis(self.lapse_s),
             skew: Permille::from_ratio(self.skew),
             retry: Policy {
                 window: millis(self.retry_window_s),
-                share: Permille::from_ratio(self.retry_share * RETRY_MARGIN),
+                share: Permille::from_ratio(self.retry_share * RETRY_SHARE_USED),
                 fleet: self.retry_extra as u32,
-                extra: self.retry_extra as u32 / UNKNOWN_FLEET,
+                extra: self.retry_extra as u32 / ASSUMED_FLEET_SIZE,
             },
             warmup: warmup::Policy {
                 over: Permille::from_ratio(self.warmup_over),
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/sse.rs
@@ -12,9 +12,9 @@
     event_end, //
 };
 
-/// `Cutter` cuts a stream of bytes into whole events.
+/// `EventSplitter` cuts a stream of bytes into whole events.
 #[derive(Debug, Default)]
-pub struct Cutter {
+pub struct EventSplitter {
     rest: BytesMut,
 }
 
@@ -27,14 +27,14 @@
     pub bytes: Bytes,
 }
 
-impl Cutter {
+impl EventSplitter {
     /// Takes bytes in.
     pub fn push(&mut self, bytes: &[u8]) {
         self.rest.extend_from_slice(bytes);
     }
 
     /// Gets the next whole event.
-    pub fn cut(&mut self) -> Option<Event> {
+    pub fn next_event(&mut self) -> Option<Event> {
         let end = event_end(&self.rest, 0)?;
         let bytes = self.rest.split_to(end).freeze();
         let id = id_of(&bytes);
@@ -42,12 +42,12 @@
     }
 
     /// Tells whether bytes of an event that is not whole are left.
-    pub fn torn(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         !self.rest.is_empty()
     }
 
     /// Tells whether the event that is coming is longer than any may be.
-    pub fn overlong(&self) -> bool {
+    pub fn is_overlong(&self) -> bool {
         self.rest.len() > MAX_EVENT
     }
 
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -37,10 +37,10 @@
 };
 
 use crate::{
-    dialect::Dialect,
-    log::Log,
+    log::LogLimiter,
     metrics::Metrics,
-    pool::Pool, //
+    pool::Pool,
+    protocol::ProtocolAdapter, //
 };
 
 /// Configurations whose secrets are remembered: routers follow a change at different moments, and
@@ -49,20 +49,20 @@
 
 /// Time from the start within which the first read of the registry is expected. Routers that start together share
 /// the registry's link; without the wait, they would refuse what comes meanwhile.
-const FIRST_READ: Millis = Millis(700);
+const FIRST_READ_TIMEOUT: Millis = Millis(700);
 
-/// `Known` is the state of the registry that is known.
+/// `RegistryState` is the state of the registry that is known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Known {
+pub struct RegistryState {
     /// Its revision.
     pub revision: Revision,
     /// When it was last the newest state.
     pub read: Time,
 }
 
-/// `Packed` is changes of the registry that were packed for a peer, kept for the next that asks for the same.
+/// `CachedPack` is changes of the registry that were packed for a peer, kept for the next that asks for the same.
 #[derive(Clone, Debug)]
-pub struct Packed {
+pub struct CachedPack {
     /// Revision from which they lead.
     pub since: Revision,
     /// Revision to which they lead.
@@ -90,17 +90,17 @@
     /// Idle connections to endpoints.
     pub pool: Pool,
     /// How requests and answers look on the wire.
-    pub dialect: Dialect,
+    pub protocol: ProtocolAdapter,
     /// Counters and latencies.
     pub metrics: Metrics,
     /// The decision log.
-    pub log: Log,
+    pub log: LogLimiter,
     /// What is known of the other routers.
     pub mesh: RefCell<Mesh>,
     /// The copy of the registry.
     pub mirror: RefCell<Mirror>,
     /// Tells what is known whenever that changes.
-    pub changes: watch::Sender<Known>,
+    pub changes: watch::Sender<RegistryState>,
     /// Where the registry is.
     pub registry: SocketAddrV4,
     /// When to read it.
@@ -108,11 +108,11 @@
     /// Tells when a peer holds something newer that it doesn't hand on.
     pub peer_withheld_update: Notify,
     /// The changes that were last packed for peers.
-    pub packed: RefCell<Option<Packed>>,
+    pub cached_pack: RefCell<Option<CachedPack>>,
     /// Whether the copy comes from own reads.
     pub reads: Cell<bool>,
     /// Until when the first read of the registry may be waited for.
-    first_read: Cell<Time>,
+    first_read_until: Cell<Time>,
     /// Secrets of the newest configurations, by version.
     secrets: RefCell<VecDeque<(u64, Secret)>>,
     /// Where the process is on its way to its end.
@@ -128,22 +128,27 @@
 
 impl State {
     /// Makes the state of a process.
-    pub fn new(gateway: Gateway, mesh: Mesh, dialect: Dialect, registry: SocketAddrV4) -> Shared {
+    pub fn new(
+        gateway: Gateway,
+        mesh: Mesh,
+        protocol: ProtocolAdapter,
+        registry: SocketAddrV4,
+    ) -> Shared {
         Rc::new(Self {
             gateway: RefCell::new(gateway),
             pool: Pool::default(),
-            dialect,
+            protocol,
             metrics: Metrics::default(),
-            log: Log::default(),
+            log: LogLimiter::default(),
             mesh: RefCell::new(mesh),
             mirror: RefCell::default(),
-            changes: watch::Sender::new(Known::default()),
+            changes: watch::Sender::new(RegistryState::default()),
             registry,
             reading: RefCell::default(),
             peer_withheld_update: Notify::new(),
-            packed: RefCell::default(),
+            cached_pack: RefCell::default(),
             reads: Cell::new(false),
-            first_read: Cell::new(now() + FIRST_READ),
+            first_read_until: Cell::new(now() + FIRST_READ_TIMEOUT),
             secrets: RefCell::default(),
             phase: watch::Sender::new(Phase::Serving),
             connections: Cell::new(0),
@@ -174,14 +179,14 @@
 
     /// Notes that a read of the registry failed: nobody can say when the next one will do.
     pub fn read_failed(&self) {
-        self.first_read.set(Time(0));
+        self.first_read_until.set(Time(0));
     }
 
     /// Waits for the first read while it is under way and nothing says that it will fail. A request that
     /// comes then is served some hundred milliseconds later; refused, its caller would come back after as
     /// long, and to a router that may have started just now.
-    pub async fn first_read(&self) {
-        let left = self.first_read.get().since(now());
+    pub async fn wait_for_first_read(&self) {
+        let left = self.first_read_until.get().since(now());
         let known = || self.gateway.borrow().catalog().is_some();
         if left == Millis(0) || known() {
             return;
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -27,7 +27,7 @@
     expect_that!(bounds.routes, eq(Millis(1900)));
     expect_that!(bounds.staying, eq(Millis(1800)));
     expect_that!(bounds.lapse, eq(Millis(2000)));
-    expect_that!(settings.bounds.pace(), eq(Millis(666)));
+    expect_that!(settings.bounds.read_interval(), eq(Millis(666)));
     // Above what a peer's copy may be old in calm times: two reads and a wait.
     expect_that!(bounds.away, gt(Millis(666 * 2 + 500)));
     expect_that!(bounds.retry.share.0, eq(160));
@@ -86,5 +86,5 @@
     expect_that!(bounds.evacuation, some(eq(Millis(1425))));
     expect_that!((bounds.warmup.over.0, bounds.warmup.slack), eq((1500, 5)));
     // An evacuation must be known in time, too.
-    expect_that!(settings.bounds.pace(), eq(Millis(500)));
+    expect_that!(settings.bounds.read_interval(), eq(Millis(500)));
 }
--- a/crates/gatewayd/src/run.rs
+++ b/crates/gatewayd/src/run.rs
@@ -22,7 +22,7 @@
 };
 
 /// Log lines that wait for a slow reader before further ones are dropped.
-const WAITING_LINES: usize = 2000;
+const MAX_BUFFERED_LOG_LINES: usize = 2000;
 
 /// `Error` says why the gateway could not start.
 #[derive(Debug, Snafu)]
@@ -54,10 +54,10 @@
         .enable_all()
         .build()
         .context(RuntimeSnafu)?;
-    let dialect = toucanturn_platform::dialect();
+    let protocol = toucanturn_platform::protocol();
     let reader = toucanturn_platform::store::reader();
     let reload = || read(path).map_err(|e| snafu::Report::from_error(e).to_string());
-    let cut = runtime.block_on(process::run(settings, dialect, reader, reload))?;
+    let cut = runtime.block_on(process::run(settings, protocol, reader, reload))?;
     Ok(if cut == 0 {
         ExitCode::SUCCESS
     } else {
@@ -71,11 +71,11 @@
 }
 
 /// Writes log lines as JSON from a thread of their own: a reader that doesn't read must not hold
-/// requests up, so lines beyond [`WAITING_LINES`] are dropped.
+/// requests up, so lines beyond [`MAX_BUFFERED_LOG_LINES`] are dropped.
 fn log_to_stdout() -> WorkerGuard {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(WAITING_LINES)
+        .buffered_lines_limit(MAX_BUFFERED_LOG_LINES)
         .finish(std::io::stdout());
     tracing_subscriber::fmt()
         .json()
