--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints and to the registry.
+//! HTTP/1 connections to endpoints, the registry and peers.
 
 use std::{
     net::SocketAddrV4,
@@ -44,81 +44,82 @@
     time::timeout, //
 };
 
-/// Most bytes of the answer to a call.
+/// Longest body of the answer to a call.
 const MAX_CALL_BODY_BYTES: usize = 16 << 20;
-/// Milliseconds after which unacknowledged bytes end a connection. A peer behind a partition sends
-/// no reset; without this its connections would hang for minutes.
+/// TCP user timeout in milliseconds: a connection ends if sent bytes stay unacknowledged for this long. A peer
+/// behind a network partition sends no reset; without this, connections to it would hang for minutes.
 const USER_TIMEOUT_MS: u32 = 2000;
 
-/// `Error` says why a connection could not be made or used.
+/// `Error` is why a call failed or a connection could not be opened.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// No connection in time.
+    /// The connection was not established in time.
     #[snafu(display("no connection to {address} within {within:?}"))]
     ConnectTimeout {
-        /// Where.
+        /// The remote address.
         address: SocketAddrV4,
-        /// The time that it had.
+        /// The time limit.
         within: Duration,
     },
     /// The connection was refused, or its options could not be set.
     #[snafu(display("can't connect to {address}"))]
     ConnectFailed {
-        /// Where.
+        /// The remote address.
         address: SocketAddrV4,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// No whole answer in time. The bytes tell a peer that says nothing from an answer that is large
-    /// for its link.
-    #[snafu(display("no whole answer in time, {received} bytes of its body came"))]
+    /// The answer was not complete in time. The number of bytes distinguishes a silent peer from an answer
+    /// that is too large for its link.
+    #[snafu(display(
+        "answer incomplete within the time limit, received {received} bytes of its body"
+    ))]
     ResponseTimeout {
-        /// Bytes of its body that had come.
+        /// Bytes of the body that had arrived.
         received: usize,
     },
-    /// The connection broke before the answer was whole.
+    /// The connection broke before the answer was complete, or its body exceeded the length limit.
     #[snafu(display("the connection broke"))]
     ConnectionLost,
-    /// The answer is no success.
-    #[snafu(display("status {status}"))]
+    /// The status is not a success.
+    #[snafu(display("answered with status {status}"))]
     Status {
         /// Its status.
         status: StatusCode,
     },
-    /// The first step of the protocol failed.
-    #[snafu(display("can't start HTTP with {address}"))]
+    /// The HTTP handshake failed.
+    #[snafu(display("HTTP handshake with {address} failed"))]
     Handshake {
-        /// Where.
+        /// The remote address.
         address: SocketAddrV4,
-        /// Why.
+        /// The cause.
         source: hyper::Error,
     },
 }
 
-/// `Timeouts` bounds a call.
+/// `Timeouts` is the time limits of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// For a new connection.
+    /// To establish a new connection.
     pub connect: Duration,
-    /// For the head of the answer.
+    /// From sending the request to the head of the answer.
     pub head: Duration,
-    /// For the next piece of its body.
+    /// Between frames of the answer's body.
     pub body_frame: Duration,
-    /// For all of it.
+    /// For the whole call.
     pub total: Duration,
 }
 
-/// `HttpClient` makes calls to one address, one after the other, over a connection that is kept while each
-/// answer is whole.
+/// `HttpClient` makes calls to one address, one at a time. It reuses its connection after each complete answer.
 #[derive(Debug)]
 pub struct HttpClient {
-    /// Where it goes.
+    /// The address that is called.
     pub address: SocketAddrV4,
     connection: Option<Connection>,
 }
 
 impl HttpClient {
-    /// Makes a link that is not connected yet.
+    /// Creates a client that is not connected yet.
     pub const fn new(address: SocketAddrV4) -> Self {
         Self {
             address,
@@ -126,11 +127,11 @@
         }
     }
 
-    /// Makes a call; gets the body of an answer with a success. `on_head` is called when its head has come.
+    /// Makes a call; returns the body of a successful answer. Invokes `on_head` when the answer's head arrives.
     ///
     /// # Errors
     ///
-    /// No connection, no whole answer in time, or one without success.
+    /// Fails if there is no connection, no complete answer in time, or a status other than success.
     pub async fn call(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -190,7 +191,7 @@
     }
 }
 
-/// `Connection` is an open connection; dropping it closes the socket, whatever goes on there.
+/// `Connection` is an open connection. Dropping it closes the socket, even with a request in progress.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -203,14 +204,14 @@
     }
 }
 
-/// `SendOutcome` is how the sending of a request ended.
+/// `SendOutcome` is the result of sending a request.
 #[derive(Debug)]
 pub enum SendOutcome {
-    /// The head of an answer came.
+    /// The head of the answer arrived.
     Head(Response<Incoming>),
     /// No byte of the request was written.
     Unsent,
-    /// Some of it may have been written, and no head came.
+    /// The connection broke before the head of the answer; part of the request may have been written.
     ConnectionLost(hyper::Error),
 }
 
@@ -219,7 +220,7 @@
     ///
     /// # Errors
     ///
-    /// No connection within the time, or refused.
+    /// Fails if the connection is refused or not established within the time limit.
     pub async fn open(address: SocketAddrV4, within: Duration) -> Result<Self, Error> {
         let connecting = TcpStream::connect(address);
         let Ok(connected) = timeout(within, connecting).await else {
@@ -247,17 +248,17 @@
         })
     }
 
-    /// Tells whether a request can be sent on it now: nothing is outstanding and nothing unread.
+    /// Returns whether a request can be sent now: no answer is outstanding or partly unread.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Tells whether it has ended.
+    /// Returns whether the connection is closed.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Sends a request and waits for the answer's head.
+    /// Sends a request and waits for the head of the answer.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> SendOutcome {
         match self.sender.try_send_request(request).await {
             Ok(response) => SendOutcome::Head(response),
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request of a caller: read, admitted, and answered with a whole answer or a refusal.
+//! A caller's request from its first byte to its answer: read, admitted, forwarded or refused.
 
 use std::{
     convert::Infallible,
@@ -58,26 +58,26 @@
     },
 };
 
-/// Most bytes of an answer that is held until it is whole; longer ones are not taken.
+/// Longest answer that is buffered until it is complete; a longer one counts as broken.
 pub(crate) const MAX_BUFFERED_ANSWER_BYTES: usize = 8 << 20;
 
-/// Seconds for which a caller may use its connection again after an answer. Connections without a request hold
-/// memory, which is most of what a router has at its peak if each is kept for as long as a configuration allows.
+/// Seconds for which a caller may reuse its connection after an answer. Idle connections hold memory: if each is
+/// kept for as long as a configuration allows, they make up most of a router's memory at its peak.
 pub(crate) const KEEP_ALIVE_S: u64 = 3;
-/// The same as callers are told.
+/// [`KEEP_ALIVE_S`] as the value of the `Keep-Alive` header field.
 const KEEP_ALIVE_VALUE: &str = "timeout=3";
 const KEEP_ALIVE_HEADER: HeaderName = HeaderName::from_static("keep-alive");
 
-/// `BodyAborted` ends an answer to a caller that can't be made whole.
+/// `BodyAborted` ends the body of an answer to a caller that can't be completed.
 #[derive(Debug, Snafu)]
-#[snafu(display("the endpoint's answer broke off"))]
+#[snafu(display("the endpoint's answer ended early and could not be resumed"))]
 pub struct BodyAborted;
 
 /// `Body` is the body of an answer to a caller.
 pub type Body =
     Either<Full<Bytes>, StreamBody<LocalBoxStream<'static, Result<Frame<Bytes>, BodyAborted>>>>;
 
-/// Serves one request.
+/// Serves a request.
 pub(crate) async fn serve(
     state: Shared,
     request: Request<Incoming>,
@@ -100,8 +100,8 @@
     Ok(response)
 }
 
-/// Tells whether a caller may use its connection again for the time that it is told: the published limit
-/// of idle connections may be shorter.
+/// Returns whether callers may be offered [`KEEP_ALIVE_S`]: the published limit for idle connections may be
+/// shorter.
 fn keep_alive_allowed(state: &State) -> bool {
     let gateway = state.gateway.borrow();
     let limits = gateway.catalog().map(|c| c.limits);
@@ -125,7 +125,7 @@
         let gateway = state.gateway.borrow();
         gateway.catalog().map(|c| c.limits).unwrap_or_default()
     };
-    // A body that says itself that it is too long isn't waited for.
+    // Refuses a body whose declared length exceeds the limit without reading it.
     if body.size_hint().lower() > u64::try_from(limits.body).unwrap_or(u64::MAX) {
         return Err((ask.id, Refusal::never(Cause::TooLarge)));
     }
@@ -165,7 +165,7 @@
     began: Time,
 ) -> Response<Body> {
     state.wait_for_first_read().await;
-    // What is known may have grown old while the body came.
+    // Takes the time again: the configuration may have become stale while the body arrived.
     let now = now();
     ask.waited = now.since(began);
     let admitted = state.gateway.borrow_mut().admit(now, &ask);
@@ -181,8 +181,8 @@
     }
 }
 
-/// Answers a request whose answer is held until it is whole, so that what breaks off can be
-/// repeated.
+/// Answers a request whose answer is buffered until it is complete, so that an attempt whose answer ends
+/// early can be repeated.
 async fn answer_buffered(mut proxied: ProxiedRequest) -> Response<Body> {
     let mut failure = None;
     loop {
@@ -201,7 +201,7 @@
     }
 }
 
-/// Makes the answer to a request that is given up, with its line in the log.
+/// Builds the answer to a refused request and logs the refusal.
 pub(crate) fn refuse(
     state: &Shared,
     id: &Bytes,
@@ -232,5 +232,5 @@
     response.map(|body| Either::Left(Full::new(body)))
 }
 
-/// Time that a caller is taken to wait that doesn't say.
+/// Time for which a caller is assumed to wait if its request states no deadline.
 const DEFAULT_DEADLINE: Millis = Millis(3000);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,11 +1,11 @@
-//! Sockets, clocks and streams around the gateway decisions of `toucanturn-core`.
+//! I/O for the gateway decisions of `toucanturn-core`: sockets, clocks and streams.
 //!
-//! One thread serves callers, keeps connections to endpoints and follows the registry. It decides
-//! nothing: [`exchange`] asks [`toucanturn_core::gateway::Gateway`] at each step. How requests,
-//! answers and the registry look on the wire is told by a [`protocol::ProtocolAdapter`] and a
-//! [`feed::RegistryReader`], which the program at the rim brings along.
+//! One thread serves callers, holds connections to endpoints and reads the registry. It makes no
+//! decisions: [`exchange`] asks [`toucanturn_core::gateway::Gateway`] at each step. The binary
+//! supplies a [`protocol::ProtocolAdapter`], which maps requests and answers to the wire, and a
+//! [`feed::RegistryReader`], which does the same for the registry.
 //!
-//! Start at [`process::run`].
+//! The entry point is [`process::run`].
 
 #![forbid(unsafe_code)]
 
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -1,4 +1,4 @@
-//! How requests and answers look on the wire, as functions that a program brings along.
+//! The wire format of requests and answers, as functions that the binary supplies.
 
 use std::net::SocketAddrV4;
 
@@ -17,57 +17,58 @@
     units::Millis,
 };
 
-/// `ProtocolAdapter` translates requests and answers. Its functions decide nothing and keep nothing.
+/// `ProtocolAdapter` translates requests and answers. Its functions are stateless and make no decisions.
 #[derive(Clone, Copy, Debug)]
 pub struct ProtocolAdapter {
-    /// Reads a request's head; the error says what is wrong with it.
+    /// Parses a request's head; the error says why it is invalid.
     pub ask: fn(&Parts) -> Result<Ask, &'static str>,
-    /// Makes the head's fields for an endpoint.
+    /// Builds the header fields of the request to an endpoint from those of the caller.
     pub forward: fn(&HeaderMap, &ForwardContext<'_>) -> HeaderMap,
-    /// Reads the head of an endpoint's answer.
+    /// Parses the header fields of an endpoint's answer.
     pub reply: fn(&HeaderMap) -> ReplyHead,
-    /// Makes the head's fields for the caller.
+    /// Builds the header fields of the caller's answer from those of the endpoint.
     pub deliver: fn(&HeaderMap) -> HeaderMap,
-    /// Makes the answer to a request that is given up; with the time after which it may come back.
+    /// Builds the answer to a refused request from the refusal, the request's id and the time after
+    /// which the caller may retry.
     pub refuse: fn(&Refusal, &Bytes, Option<Millis>) -> Response<Bytes>,
-    /// Path that tells whether callers may be sent here.
+    /// Path of the readiness check.
     pub ready_path: &'static str,
 }
 
-/// `ForwardContext` is what an endpoint is told besides the caller's own fields.
+/// `ForwardContext` is what the gateway adds to a caller's header fields for an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardContext<'a> {
-    /// Name of the endpoint that is meant.
+    /// Id of the endpoint that the request is addressed to.
     pub endpoint: &'a Bytes,
     /// Workspace of the caller.
     pub workspace: Option<&'a Bytes>,
-    /// How long the answer is waited for.
+    /// Time until the final answer is due.
     pub time_left: Millis,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Last event that the caller has, where an earlier attempt got that far.
+    /// Last event that the caller has received; the endpoint resumes the stream after it.
     pub resume: Option<u64>,
-    /// Whether the request is a generation.
+    /// Whether the request is a generation, that is, has a prompt.
     pub generates: bool,
-    /// Endpoint from which the cache of the prompt's shared parts may be fetched.
+    /// Address of an endpoint from which the KV cache of the prompt's shared parts can be fetched.
     pub holder: Option<SocketAddrV4>,
 }
 
-/// `ReplyHead` is what the head of an endpoint's answer says.
+/// `ReplyHead` is what the gateway reads from the head of an endpoint's answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReplyHead {
-    /// Identity of the request that it answers.
+    /// Id of the request that it answers.
     pub id: Option<Bytes>,
-    /// Whether it bears the endpoint's signature.
+    /// Whether it has the header field by which an endpoint signs its answers.
     pub sealed: bool,
-    /// Whether it says that the request was not run.
+    /// Whether it states that the request was not run.
     pub rejected: bool,
-    /// Whether the body was changed on the way.
+    /// Whether the body has a content encoding, so something between endpoint and gateway changed it.
     pub encoded: bool,
-    /// Load of the endpoint.
+    /// Load of the endpoint, if stated.
     pub load: Option<Load>,
-    /// How long the connection may stay idle.
+    /// Time for which the endpoint keeps the connection open while idle, if stated.
     pub idle: Option<Millis>,
-    /// Whether the connection ends with this answer.
+    /// Whether the endpoint closes the connection after this answer.
     pub closes: bool,
 }
--- a/crates/gateway/src/proxied.rs
+++ b/crates/gateway/src/proxied.rs
@@ -1,4 +1,4 @@
-//! One admitted request and its attempts: connected, sent, and how each ended.
+//! An admitted request and its attempts at endpoints: placement, connection, sending and outcome.
 
 use std::time::Duration;
 
@@ -62,11 +62,11 @@
     },
 };
 
-/// Longest wait for the body of an answer that says that nothing ran; its connection is kept if
-/// the body comes by then.
+/// Longest wait for the body of an answer that states that nothing ran. The connection is kept for
+/// reuse if the body is complete by then.
 const REJECTION_BODY_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// `ProxiedRequest` is one admitted request.
+/// `ProxiedRequest` is an admitted request that is being forwarded to endpoints.
 #[derive(Debug)]
 pub(crate) struct ProxiedRequest {
     pub(crate) state: Shared,
@@ -79,7 +79,8 @@
     pub(crate) began: Time,
 }
 
-/// `AttemptGuard` is an attempt in progress. Dropping it tells the decisions that the caller left.
+/// `AttemptGuard` is an attempt in progress. Dropping it before [`AttemptGuard::end`] records that the
+/// caller disconnected.
 #[derive(Debug)]
 pub(crate) struct AttemptGuard {
     state: Shared,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Ends the attempt.
+    /// Records how the attempt ended; returns what follows.
     pub(crate) fn end(mut self, proxied: &mut ProxiedRequest, fate: Fate) -> Next {
         self.active = false;
         let mut gateway = proxied.state.gateway.borrow_mut();
@@ -117,7 +118,7 @@
     }
 }
 
-/// `Attempt` is an attempt whose answer has begun.
+/// `Attempt` is an attempt for which the head of the endpoint's answer has arrived.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) head: http::response::Parts,
@@ -128,7 +129,7 @@
 }
 
 impl ProxiedRequest {
-    /// Makes the call of an admitted request.
+    /// Creates the state of an admitted request.
     pub(crate) fn new(
         state: Shared,
         (ask, ticket): (Ask, Ticket),
@@ -147,8 +148,8 @@
         }
     }
 
-    /// Looks at the content where it may be that of a request that crashed endpoints. It is hashed only then, as bodies
-    /// may be large.
+    /// Fingerprints the content if it may be that of a request that crashed endpoints. Other content is not
+    /// hashed, as bodies may be large.
     fn identify(&mut self) {
         let known = self.ticket.content.is_some();
         if !known && self.state.gateway.borrow().watches(&self.ticket) {
@@ -176,12 +177,12 @@
         }
     }
 
-    /// Gets the time until the final answer is due.
+    /// Returns the time until the final answer is due.
     pub(crate) fn time_left(&self) -> Duration {
         Duration::from_millis(self.ticket.until.since(now()).0)
     }
 
-    /// Gets the time that an endpoint may say nothing; `begun` once it has sent a part.
+    /// Returns how long an endpoint may send nothing; `begun` says whether it has sent part of its answer.
     pub(crate) fn silence_timeout(&self, begun: bool) -> Duration {
         let mut gateway = self.state.gateway.borrow_mut();
         let limit = gateway.silence_timeout(now(), &self.ticket, begun);
@@ -189,8 +190,8 @@
         limit.min(self.time_left())
     }
 
-    /// Makes attempts until one has an answer of the endpoint's own; `resume` is the last event
-    /// that the caller has.
+    /// Makes attempts until an endpoint's answer has begun. `resume` is the last event that the caller
+    /// has received.
     pub(crate) async fn start(&mut self, resume: Option<u64>) -> Result<Attempt, Refusal> {
         loop {
             self.identify();
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Gives the call up after its attempts.
+    /// Returns the refusal for a request that is given up after its attempts.
     pub(crate) fn given_up(&self, cause: Cause) -> Refusal {
         Refusal::given_up(cause, self.ticket.may_have_run)
     }
@@ -246,7 +247,7 @@
                 }
                 Err(error) => error.to_string(),
             },
-            None => "it is gone".to_owned(),
+            None => "the endpoint is no longer registered".to_owned(),
         };
         self.state.metrics.count("connections", "failed");
         let mut gateway = self.state.gateway.borrow_mut();
@@ -276,7 +277,7 @@
             Ok(SendOutcome::Head(response)) => response,
             Ok(SendOutcome::Unsent) => return Err((guard, Fate::NotSent, None)),
             Ok(SendOutcome::ConnectionLost(error)) => {
-                tracing::debug!(id = %text(&self.ask.id), %error, "no answer");
+                tracing::debug!(id = %text(&self.ask.id), %error, "connection broke before the answer's head");
                 return Err((guard, Fate::Broken, None));
             }
             Err(_) => return Err((guard, Fate::Stalled, None)),
@@ -301,11 +302,12 @@
             };
             return Err((guard, fate, status));
         }
-        // Without its signature an answer is not the endpoint's, or not all of it.
+        // An answer without the signature field did not come from the endpoint, or is incomplete.
         if !reply.sealed || reply.encoded {
             return Err((guard, Fate::Broken, status));
         }
-        // An endpoint that leaves ends its connections with each answer, and few others do.
+        // A leaving endpoint closes its connection with each answer and few others do, so an answer that
+        // keeps the connection open confirms that the endpoint is not leaving.
         if !reply.closes {
             let mut gateway = self.state.gateway.borrow_mut();
             gateway.confirm(&self.ticket, placed.endpoint);
@@ -319,8 +321,8 @@
         })
     }
 
-    /// Holds an attempt's answer until it is whole, and ends the attempt; gives what follows, and the
-    /// caller's answer or why there is none.
+    /// Buffers an attempt's answer until it is complete, and ends the attempt. Returns what follows, and
+    /// the caller's answer or how the attempt failed.
     pub(crate) async fn buffer_answer(
         &mut self,
         attempt: Attempt,
@@ -343,7 +345,7 @@
                 Ok(self.caller_response(&head, Either::Left(Full::new(body.to_bytes()))))
             }
             Ok(Err(error)) => {
-                tracing::debug!(id = %text(&self.ask.id), %error, "answer broke off");
+                tracing::debug!(id = %text(&self.ask.id), %error, "body of the answer ended early");
                 Err(Fate::Broken)
             }
             Err(_) => Err(Fate::Stalled),
@@ -356,7 +358,7 @@
         (self.end(guard, fate, Some(head.status)), answer)
     }
 
-    /// Keeps the connection of a rejected attempt, if its short body comes at once.
+    /// Reads the short body of a rejection; keeps the connection if it is complete in time.
     async fn drain_rejection(
         &self,
         guard: &AttemptGuard,
@@ -374,7 +376,7 @@
         }
     }
 
-    /// Keeps a connection whose answer is whole.
+    /// Returns a connection to the pool after a complete answer.
     pub(crate) fn keep_connection(
         &self,
         guard: &AttemptGuard,
@@ -408,7 +410,7 @@
         request
     }
 
-    /// Ends an attempt, with its line in the log.
+    /// Ends an attempt and logs it.
     pub(crate) fn end(
         &mut self,
         guard: AttemptGuard,
@@ -451,7 +453,7 @@
         next
     }
 
-    /// Refuses the call.
+    /// Builds the answer that refuses the request.
     pub(crate) fn refuse(&self, refusal: Refusal) -> Response<Body> {
         if refusal.cause == Cause::Quarantined {
             self.log_held();
@@ -460,7 +462,7 @@
         refuse(&self.state, &self.ask.id, refusal, deadline)
     }
 
-    /// Makes the caller's answer from an endpoint's.
+    /// Builds the caller's answer from an endpoint's.
     pub(crate) fn caller_response(
         &self,
         head: &http::response::Parts,
@@ -529,7 +531,7 @@
     found.map_or_else(|| "gone".to_owned(), |e| text(&e.entry.id).into_owned())
 }
 
-/// Gets the path and query alone, as an endpoint expects them (RFC 9112, section 3.2.1).
+/// Returns the URI in origin form, that is, path and query (RFC 9112, section 3.2.1).
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(|| Uri::from_static("/"), Uri::from)
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,4 +1,5 @@
-//! Streams: events go on as they come, and another endpoint goes on where one broke off.
+//! Streamed answers: events are forwarded as they arrive, and when an endpoint's stream fails, another
+//! endpoint resumes it.
 
 use std::time::Duration;
 
@@ -39,34 +40,34 @@
     sse::EventSplitter,
 };
 
-/// `Relay` is a stream in progress.
+/// `Relay` is a stream that is being forwarded to a caller.
 struct Relay {
     proxied: ProxiedRequest,
     attempt: Option<Attempt>,
     events: EventSplitter,
-    /// Last event that the caller has.
+    /// Id of the last event that the caller has received.
     last: Option<u64>,
-    /// Whether the caller has an event.
+    /// Whether the caller has received an event.
     event_delivered: bool,
-    /// Whether another endpoint has gone on.
+    /// Whether another endpoint has resumed the stream.
     resumed: bool,
 }
 
-/// `Piece` is what comes next.
+/// `Piece` is what [`Relay::next_piece`] returns.
 enum Piece {
     Bytes(Bytes),
-    /// The endpoint's answer ended as it should.
+    /// The endpoint's answer is complete.
     End,
-    /// It broke off.
+    /// The connection broke, or the answer ended within an event.
     Broken,
-    /// Time ran out.
-    Late,
+    /// The endpoint sent nothing for too long, or an event that exceeds the length limit.
+    Stalled,
 }
 
 /// Answers a request with a stream.
 ///
-/// The head goes out with the first event: until then another endpoint can be tried, and the
-/// caller can be told what became of its request.
+/// The head is sent with the first event. Until then another endpoint can be tried, and the caller
+/// can still get a refusal that says whether its request may have run.
 pub(crate) async fn answer(mut proxied: ProxiedRequest) -> Response<Body> {
     let mut last = proxied.ask.resume;
     loop {
@@ -92,7 +93,7 @@
                 relay.finish();
                 return relay.respond(head, None);
             }
-            ended @ (Piece::Broken | Piece::Late) => {
+            ended @ (Piece::Broken | Piece::Stalled) => {
                 let fate = ended.fate();
                 let next = relay.end(fate);
                 last = relay.last;
@@ -106,16 +107,16 @@
 }
 
 impl Piece {
-    /// Gets the fate of an attempt that this ended before its proper end.
+    /// Returns the fate of an attempt whose stream failed with this piece.
     fn fate(&self) -> Fate {
         match self {
-            Piece::Late => Fate::Stalled,
+            Piece::Stalled => Fate::Stalled,
             _ => Fate::Broken,
         }
     }
 }
 
-/// Hands on an endpoint's own failure, which is no stream.
+/// Forwards an endpoint's error answer, which is not a stream.
 async fn failure(mut proxied: ProxiedRequest, attempt: Attempt) -> Response<Body> {
     match proxied.buffer_answer(attempt).await {
         (Next::Again, Ok(_)) => Box::pin(answer(proxied)).await,
@@ -125,9 +126,9 @@
 }
 
 impl Relay {
-    /// Makes the answer whose body goes on with this stream.
+    /// Builds the caller's answer, whose body forwards this stream.
     fn respond(self, mut head: http::response::Parts, first: Option<Bytes>) -> Response<Body> {
-        // Another endpoint may go on, and its part is not in the first one's length.
+        // Another endpoint may resume the stream, and the first one's length does not include its part.
         head.headers.remove(header::CONTENT_LENGTH);
         let whole = self.attempt.is_none();
         let response = self
@@ -143,7 +144,7 @@
         response.map(|_| Either::Right(StreamBody::new(body)))
     }
 
-    /// Gets the next whole event, or what ended the endpoint's answer.
+    /// Returns the next complete event, or how the endpoint's answer ended.
     async fn next_piece(&mut self) -> Piece {
         loop {
             while let Some(event) = self.events.next_event() {
@@ -159,7 +160,7 @@
                 return Piece::End;
             };
             if left == Duration::ZERO || self.events.is_overlong() {
-                return Piece::Late;
+                return Piece::Stalled;
             }
             match timeout(left, attempt.body.frame()).await {
                 Ok(Some(Ok(frame))) => {
@@ -167,20 +168,21 @@
                         self.events.push(&data);
                     }
                 }
-                // What goes on with a stream is events; half of one, or another body, would make it look complete.
+                // A resumed stream must consist of complete events: a partial event or another kind of body
+                // would make a truncated stream look complete.
                 Ok(None) if self.events.has_partial() && self.resumed => return Piece::Broken,
                 Ok(None) if self.events.has_partial() => return Piece::Bytes(self.events.rest()),
                 Ok(None) => return Piece::End,
                 Ok(Some(Err(error))) => {
-                    tracing::debug!(%error, "stream broke off");
+                    tracing::debug!(%error, "stream ended early");
                     return Piece::Broken;
                 }
-                Err(_) => return Piece::Late,
+                Err(_) => return Piece::Stalled,
             }
         }
     }
 
-    /// Ends the attempt as whole.
+    /// Ends the attempt as answered, and keeps its connection.
     fn finish(&mut self) {
         if let Some(attempt) = self.attempt.take() {
             let status = attempt.head.status;
@@ -191,7 +193,8 @@
         }
     }
 
-    /// Ends the attempt, which closes its connection: the endpoint stops before another goes on.
+    /// Ends a failed attempt and closes its connection, so that its endpoint stops before another one
+    /// resumes the stream.
     fn end(&mut self, fate: Fate) -> Next {
         self.events = EventSplitter::default();
         let Some(attempt) = self.attempt.take() else {
@@ -202,7 +205,7 @@
         self.proxied.end(attempt.guard, fate, Some(status))
     }
 
-    /// Goes on at another endpoint after the last event; returns whether one does.
+    /// Resumes the stream at another endpoint after the last event; returns whether that succeeded.
     async fn resume(&mut self) -> bool {
         let resumable = matches!(
             self.proxied.ticket.route.kind,
@@ -235,7 +238,7 @@
                 relay.finish();
                 return None;
             }
-            ended @ (Piece::Broken | Piece::Late) => {
+            ended @ (Piece::Broken | Piece::Stalled) => {
                 if relay.end(ended.fate()) != Next::Again || !relay.resume().await {
                     return Some((Err(BodyAborted), None));
                 }
