--- a/crates/gateway/src/errors.rs
+++ b/crates/gateway/src/errors.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with sockets.
+//! Errors that prevent the gateway from starting.
 
 use std::{
     io,
@@ -7,25 +7,25 @@
 
 use snafu::Snafu;
 
-/// `Error` says why the gateway could not start.
+/// `Error` is why the gateway could not start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// An address can't be listened on.
+    /// Listening on an address failed.
     #[snafu(display("can't listen on {address}"))]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// Signals can't be watched.
-    #[snafu(display("can't watch signals"))]
+    /// Installing a signal handler failed.
+    #[snafu(display("can't install signal handlers"))]
     Signals {
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
 }
 
-/// `Result` is that of starting.
+/// `Result` is the result of an operation that can prevent the gateway from starting.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -1,6 +1,5 @@
-//! What the registry says, whoever read it: taken into the copy and told to the decisions, with how old it is.
-//!
-//! It comes from own reads ([`crate::reads`]) and from peers that read ([`crate::copies`]).
+//! Applies registry updates, from own reads ([`crate::reads`]) or from peers ([`crate::peer_follower`]), to the local
+//! copy of the registry and to the gateway decisions, with the time at which they were current.
 
 use toucanturn_core::{
     gateway::{
@@ -26,71 +25,72 @@
     },
 };
 
-/// `RegistryReader` translates reads of the registry. It does no I/O.
+/// `RegistryReader` translates between the registry's wire format and the gateway. It does no I/O.
 pub struct RegistryReader {
-    /// Begins a read of what has changed since a revision, or of everything.
+    /// Begins a read of the changes since a revision, or of everything.
     pub begin: fn(Option<Revision>) -> RegistryRead,
-    /// Says what a record means.
+    /// Interprets a record.
     pub change: fn(&Record) -> RecordMeaning,
 }
 
-/// `RegistryRead` is one read of the registry, as calls and their answers.
+/// `RegistryRead` is one read of the registry: a sequence of calls and their answers.
 pub struct RegistryRead {
     /// Path of the first call.
     pub path: String,
-    /// Path of the call that follows if the registry holds something newer, where that is known beforehand: it
-    /// can be made at the same time.
+    /// Path of the call that follows if the registry holds something newer, if known in advance: it can be
+    /// made at the same time as the first call.
     pub speculative_path: Option<String>,
-    /// Takes an answer's body in.
+    /// Processes the body of an answer.
     pub on_body: Box<OnBody>,
-    /// Begins with everything in place of what has changed; gets the path of the call.
+    /// Begins a full read in place of a read of changes.
     pub restart: fn() -> RegistryRead,
 }
 
-/// `RecordMeaning` is what a record changes, if anything, and what is wrong with it, if it can't be understood.
+/// `RecordMeaning` is the change that a record stands for, if any, and why it is invalid, if it is.
 #[derive(Debug, Default)]
 pub struct RecordMeaning {
-    /// What it changes.
+    /// The change.
     pub change: Option<Change>,
-    /// What is wrong with it.
+    /// Why the record is invalid.
     pub fault: Option<String>,
 }
 
-/// `OnBody` takes an answer's body in; the error says what is wrong with it.
+/// `OnBody` processes the body of an answer; the error says why the body is invalid.
 pub type OnBody = dyn FnMut(&[u8]) -> Result<RegistryStep, String>;
 
-/// `RegistryStep` is what follows an answer of the registry.
+/// `RegistryStep` is the next step of a read after an answer of the registry.
 #[derive(Debug)]
 pub enum RegistryStep {
-    /// The read goes on with the call of this path.
+    /// The read continues with a call of this path.
     More(String),
-    /// The registry holds something newer, and the read goes on with the call of this path.
+    /// The registry holds something newer, and the read continues with a call of this path.
     Newer(String),
-    /// The read is whole.
+    /// The read is complete.
     Whole(Delta),
 }
 
-/// How a delta is taken into the copy.
+/// `ApplyDelta` applies a delta to the local copy and returns the records that it changes.
 pub(crate) type ApplyDelta = fn(&mut Mirror, Delta) -> Vec<Record>;
 
-/// Takes in what was the newest state at `read`. What is older than the copy proves nothing.
+/// Applies a delta that led to the newest state at the time `read`. A delta older than the local copy is ignored, and
+/// proves nothing about the copy's age.
 pub(crate) fn apply(
     state: &Shared,
     read: Time,
     delta: Delta,
-    take: ApplyDelta,
+    apply_delta: ApplyDelta,
     reader: &RegistryReader,
 ) {
     let revision = delta.revision;
     if revision < state.mirror.borrow().revision() {
         tracing::debug!(
             revision = revision.0,
-            "older state of the registry passed over"
+            "ignored a registry state older than the local copy"
         );
         return;
     }
     state.gateway.borrow_mut().proved(now(), read);
-    let records = take(&mut state.mirror.borrow_mut(), delta);
+    let records = apply_delta(&mut state.mirror.borrow_mut(), delta);
     let mut changes = Vec::new();
     for record in &records {
         let meaning = (reader.change)(record);
@@ -104,7 +104,7 @@
     notify_waiters(state);
 }
 
-/// Tells those that wait for it what is known now.
+/// Wakes the polls of peers that wait for a change.
 fn notify_waiters(state: &Shared) {
     let read = state.gateway.borrow().proof().read().unwrap_or_default();
     let revision = state.mirror.borrow().revision();
@@ -123,7 +123,7 @@
     }
 }
 
-/// Writes news to the log.
+/// Logs a change of the configuration, a data centre or an endpoint.
 pub(crate) fn log(news: &News) {
     match news {
         News::Applied { version } => {
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -1,7 +1,7 @@
-//! Digests between routers, by datagram.
+//! Gossip between routers: digests in UDP datagrams.
 //!
-//! A datagram that is lost, late or replayed does no harm: the next round brings the same news, and
-//! one that isn't newer than what its sender said before is passed over.
+//! Lost, late or replayed datagrams do no harm: the next round repeats the same information, and a digest that is
+//! not newer than the last one of its sender is ignored.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     now, //
 };
 
-/// Hears and tells for good.
+/// Sends and receives digests until the process ends.
 pub async fn run(state: Shared, socket: UdpSocket) {
     let mut buffer = [0; MAX_DATAGRAM];
     let mut rounds = interval(Duration::from_millis(GOSSIP_INTERVAL.0));
@@ -39,8 +39,8 @@
             _ = rounds.tick() => send_digests(&state, &socket).await,
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, _)) => receive_digest(&state, &buffer[..length]),
-                // A peer that is gone may be told of by its machine; the next one is heard.
-                Err(error) => tracing::debug!(%error, "no datagram"),
+                // An ICMP error after sending to a peer that has ended, for example; receiving continues.
+                Err(error) => tracing::debug!(%error, "can't receive a datagram"),
             },
         }
     }
@@ -74,7 +74,7 @@
     };
     for (sealed, target) in datagrams {
         if let Err(error) = socket.send_to(&sealed, target).await {
-            tracing::debug!(%error, %target, "digest not sent");
+            tracing::debug!(%error, %target, "can't send a digest");
         }
     }
 }
@@ -89,7 +89,7 @@
                 let mut gateway = state.gateway.borrow_mut();
                 gateway.seen(now(), &digest.reports);
                 gateway.crashed(now(), &digest.crashes);
-                // Services have other indices in another configuration.
+                // Samples name services by index, which is valid for one configuration version only.
                 if gateway.catalog().is_some_and(|c| c.version == epoch) {
                     gateway.sampled(now(), &digest.samples);
                 }
@@ -100,7 +100,7 @@
         }
         Err(error) => {
             state.metrics.count("digests", "refused");
-            tracing::debug!(%error, "digest passed over");
+            tracing::debug!(%error, "digest refused");
         }
     }
 }
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -1,7 +1,7 @@
-//! The decision log: one line for each decision that touches a request or changes a belief.
+//! Rate limit of the decision log, which has one line for each decision about a request or change of state.
 //!
-//! Lines go through `tracing`. [`LogLimiter`] bounds their number: what is beyond it is counted, and the
-//! count is written with the next second's first line, so that a reader sees that lines are missing.
+//! Lines are written through `tracing`. [`LogLimiter`] bounds their number per second. It counts the dropped lines and
+//! logs the count before the first line of the next second, so that a reader sees that lines are missing.
 
 use std::cell::Cell;
 
@@ -12,11 +12,11 @@
 
 use crate::state;
 
-/// Lines a second that are written; the rest is counted.
+/// Lines that are written per second; further ones are dropped and counted.
 const MAX_LINES_PER_SECOND: u32 = 300;
 const SECOND: Millis = Millis(1000);
 
-/// `LogLimiter` counts the lines of the current second.
+/// `LogLimiter` counts the lines that were written and dropped in the current second.
 #[derive(Debug, Default)]
 pub struct LogLimiter {
     second: Cell<Time>,
@@ -25,7 +25,7 @@
 }
 
 impl LogLimiter {
-    /// Tells whether one more line may be written.
+    /// Counts a line; returns whether it may be written.
     pub fn try_admit(&self) -> bool {
         let now = state::now();
         if now.since(self.second.get()) >= SECOND {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Gets a name as text for a log line.
+/// Returns bytes as text for a log line; invalid UTF-8 is replaced.
 pub fn text(bytes: &[u8]) -> std::borrow::Cow<'_, str> {
     String::from_utf8_lossy(bytes)
 }
--- a/crates/gateway/src/peer_follower.rs
+++ b/crates/gateway/src/peer_follower.rs
@@ -1,7 +1,9 @@
-//! Follows a peer that reads the registry: one ask after the other, each answered when there is news.
+//! Copies the registry's state from peers, which are polled one request at a time. A poll is answered when the
+//! peer has something newer.
 //!
-//! While that peer has none, others are asked what they have. The peer is waited at all the same: it reads again as
-//! soon as the registry serves it, and others, asked by lot, may have nothing for long.
+//! While the peer that reads for the data centre has nothing newer, other peers are polled too. The long poll at
+//! that peer continues: it reads again as soon as the registry serves it, whereas the others are chosen at random
+//! and may have nothing newer for long.
 
 use std::{
     cell::Cell,
@@ -34,18 +36,19 @@
     },
 };
 
-/// Time for which a peer is not asked that gave no answer.
+/// Time for which a peer that gave no answer is not polled.
 const UNRESPONSIVE_PEER_PAUSE: Millis = Millis(4000);
-/// Time for which a peer is not asked that refused to answer: it may know no configuration yet, or another one.
+/// Time for which a peer that refused a poll is not polled: it may have no configuration yet, or another one.
 const REFUSING_PEER_PAUSE: Millis = Millis(500);
-/// Pause between asks, so that a peer that answers at once is not asked without end.
+/// Pause after a poll that brought news, so that a peer that answers at once is not polled in a tight loop.
 const POLL_PAUSE: Duration = Duration::from_millis(50);
-/// Pause where nobody is to be asked, or who was gave no answer.
+/// Pause when there is no peer to poll, or the poll brought nothing.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(150);
-/// Part of the time between reads for which news are waited for where what can be proved is late.
+/// A long poll lasts this fraction of the read interval when the proof of the known state's age is late.
 const LATE_WAIT_DIVISOR: u64 = 4;
 
-/// Follows peers for good: one is waited at for news, and where it has none, others are asked meanwhile.
+/// Follows peers until the process ends: long polls at the upstream peer, and short polls at others while it has
+/// nothing newer.
 pub(crate) async fn run(state: Shared, reader: Rc<RegistryReader>) {
     let last_outcome = Cell::new(PollOutcome::Updated);
     tokio::join!(
@@ -54,7 +57,7 @@
     );
 }
 
-/// Waits for news at the router that reads for the data centre, one ask after the other; keeps the last answer.
+/// Polls the router that reads for the data centre, and stores the outcome of each poll in `last_outcome`.
 async fn follow_upstream(
     state: &Shared,
     reader: &RegistryReader,
@@ -67,7 +70,7 @@
             continue;
         };
         let interval = state.gateway.borrow().bounds().pace().interval;
-        // The first time only: once others are asked, too, nothing is gained by an early answer.
+        // Shortens only the first long poll: later ones gain nothing by an early answer, as others are polled, too.
         let wait = if is_proof_late(state) && last_outcome.get() != PollOutcome::UpToDate {
             Millis(interval.0 / LATE_WAIT_DIVISOR)
         } else {
@@ -78,7 +81,7 @@
         let outcome = poll_peer(state, http_client, wait, reader).await;
         last_outcome.set(outcome);
         match outcome {
-            // The own read brings it meanwhile.
+            // This router's own read, which the outcome triggers, fetches it meanwhile.
             PollOutcome::TooLarge => sleep(duration(wait).max(IDLE_POLL_INTERVAL)).await,
             PollOutcome::Updated => sleep(POLL_PAUSE).await,
             PollOutcome::UpToDate | PollOutcome::Failed => sleep(IDLE_POLL_INTERVAL).await,
@@ -86,11 +89,11 @@
     }
 }
 
-/// Asks other routers what they have where this one is to read itself, or the one that it follows has nothing newer, and
-/// what can be proved is late: the registry may have turned away those that should read, and serve others.
+/// Polls other routers while the proof is late and there is no upstream peer or it has nothing newer. The registry may
+/// refuse the routers that should read it and serve others.
 ///
-/// Many of them are late, too. Waited at for news, each would cost the time between two reads, and three of them
-/// the time in which a change is promised to be in force; so they are only asked what they have.
+/// These polls don't wait for news, as many of the other routers are late, too. A long poll would cost one read
+/// interval, and three of them the time within which a change is promised to be in force.
 async fn poll_others(state: &Shared, reader: &RegistryReader, last_outcome: &Cell<PollOutcome>) {
     let mut other: Option<HttpClient> = None;
     loop {
@@ -105,7 +108,7 @@
     }
 }
 
-/// Gets the connection to a peer: the same for as long as the same peer will do.
+/// Returns the client for a peer: the existing one if it is for the same address, otherwise a new one.
 fn reuse_client(http_client: &mut Option<HttpClient>, peer: SocketAddrV4) -> &mut HttpClient {
     let kept = http_client
         .take()
@@ -117,40 +120,41 @@
     state.gateway.borrow().catalog().is_some()
 }
 
-/// Gets the router that reads for the data centre, unless it is this one.
+/// Returns the router that reads the registry for this data centre, unless it is this one or no configuration is
+/// known yet.
 fn upstream_peer(state: &Shared) -> Option<SocketAddrV4> {
     let upstream = state.mesh.borrow().upstream(now());
     upstream.filter(|_| has_configuration(state))
 }
 
-/// Gets another router to ask.
+/// Picks another router to poll.
 fn other_peer(state: &Shared) -> Option<SocketAddrV4> {
     let draw = state.gateway.borrow_mut().draw();
     let other = state.mesh.borrow().fallback_upstream(now(), draw);
     other.filter(|_| has_configuration(state))
 }
 
-/// Tells whether what can be proved is older than a peer that works lets it grow.
+/// Returns whether the proof of the known state's age is older than a working upstream peer would let it become.
 fn is_proof_late(state: &Shared) -> bool {
     let gateway = state.gateway.borrow();
     let late = gateway.bounds().pace().late();
     !gateway.proof().holds(now(), late)
 }
 
-/// `PollOutcome` is what came of an ask.
+/// `PollOutcome` is the result of polling a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PollOutcome {
-    /// Something newer.
+    /// The peer sent something newer, which has been applied.
     Updated,
     /// The peer has nothing newer.
     UpToDate,
-    /// It has something newer that is too large to be handed on.
+    /// The peer has something newer that is too large to send.
     TooLarge,
-    /// None that can be used.
+    /// The peer sent no usable answer.
     Failed,
 }
 
-/// Asks a peer, and takes in what it has.
+/// Polls a peer and applies what it sends.
 async fn poll_peer(
     state: &Shared,
     http_client: &mut HttpClient,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,4 +1,5 @@
-//! Copies of the registry between routers: one asks, the other answers with what has changed.
+//! Registry updates between routers, over HTTP: one router polls, the other answers with the changes since the
+//! poller's revision.
 
 use std::{
     convert::Infallible,
@@ -58,56 +59,57 @@
     },
 };
 
-/// Path of the copies.
+/// Path of polls for registry updates.
 const PATH: &str = "/registry";
-/// Longest wait of a copy for news.
+/// Longest time for which a poll waits for a change.
 pub const MAX_LONG_POLL_WAIT: Millis = Millis(2000);
-/// Time after that in which the answer must be there.
+/// Time in which the answer must be complete after the poll's wait.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// By how much newer a read must be to be news, where nothing has changed: what the asker has of the same read
-/// looks a little older, by the time under way.
+/// Minimum by which a known state must be more recent than the poller's to end its wait where nothing has changed.
+/// The poller's copy of the same read looks a little older, by the time of its transfer.
 const MIN_AGE_GAIN: Millis = Millis(100);
-/// The same once the ask has waited for as long as it may.
+/// The same minimum once the poll has waited for as long as it may.
 const MIN_AGE_GAIN_AFTER_WAIT: Millis = Millis(1);
-/// Most bytes of changes that are packed to be handed on: of more, not even the packed form is small.
+/// Most bytes of changes that are packed for a peer: the packed form of more is too large as well.
 const MAX_DELTA_BYTES: usize = 256 << 10;
-/// Most packed bytes of changes that are handed on; the asker reads what is more by itself. Copies of large
-/// configurations in quick succession would fill a reader's link, and a change would be in force late at all that ask it.
+/// Most bytes of a pack that is sent; the poller reads anything larger from the registry itself. Sending large
+/// configurations to many pollers in quick succession would saturate a reader's link and delay the change for all of
+/// them.
 const MAX_PACK_BYTES: usize = 24 << 10;
 
-/// `Error` says why no copy came.
+/// `Error` is why a poll failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// No whole answer came, or one without success.
+    /// There was no complete answer, or one with a status other than success.
     #[snafu(display("{source}"), context(false))]
     Call {
-        /// Why.
+        /// The cause.
         source: client::Error,
     },
-    /// The answer is not from a router with the same configuration, or not to this ask.
+    /// The answer can't be opened with a known configuration's secret, or not be decoded.
     #[snafu(display("{source}"), context(false))]
     Message {
-        /// Why.
+        /// The cause.
         source: toucanturn_wire::gossip::Error,
     },
-    /// No configuration is known here, with whose secret an ask could be made.
+    /// This router has no configuration yet, and so no secret to seal the poll with.
     #[snafu(display("expected a configuration to be in force"))]
     NoConfiguration,
-    /// The answer is to another ask.
-    #[snafu(display("expected the answer to this ask"))]
+    /// The answer is to another poll.
+    #[snafu(display("expected the nonce of this poll in the answer"))]
     WrongNonce,
 }
 
-/// Asks a peer for what has changed, and to wait for a change if there is none; gets it with the time at
-/// which it was the newest state.
+/// Polls a peer for the changes since this router's revision; the peer waits up to `wait` for one. Returns the changes
+/// with the time at which they were the newest state.
 ///
-/// That time is this router's own: the ask went out before the peer had it, so when the copy was made at least
-/// the time for which the ask waited there had passed, and the read behind it was as old as the copy says then,
-/// whatever the clocks say.
+/// That time is on this router's clock, so the peer's clock need not agree. The poll was sent before the peer received
+/// it. When the peer made its answer, at least the stated wait had passed since the sending, and the read behind the
+/// answer was as old as the answer states.
 ///
 /// # Errors
 ///
-/// No copy came, or one that can't be trusted.
+/// Fails if no answer arrives, or one that can't be trusted.
 pub async fn request_delta(
     state: &Shared,
     http_client: &mut HttpClient,
@@ -139,11 +141,11 @@
     let (_, payload) = open(&body, |epoch| state.secret(epoch))?;
     let copy = decode_copy(payload)?;
     snafu::ensure!(copy.nonce == ask.nonce, WrongNonceSnafu);
-    let made = sent + copy.waited.min(now().since(sent));
-    Ok((made - copy.age, copy.delta))
+    let made_at = sent + copy.waited.min(now().since(sent));
+    Ok((made_at - copy.age, copy.delta))
 }
 
-/// Answers peers for good.
+/// Answers polls of peers until the process ends.
 pub async fn serve(state: Shared, listener: TcpListener) {
     server::serve(state, listener, answer).await;
 }
@@ -164,22 +166,22 @@
     let opened = open(&body.to_bytes(), |epoch| state.secret(epoch));
     let asked = opened.and_then(|(epoch, payload)| Ok((epoch, decode_ask(&payload)?)));
     Ok(match asked {
-        Ok((epoch, ask)) => copy(&state, epoch, ask).await,
+        Ok((epoch, ask)) => answer_poll(&state, epoch, ask).await,
         Err(error) => {
-            tracing::debug!(%error, "ask passed over");
+            tracing::debug!(%error, "poll of a peer refused");
             status(StatusCode::FORBIDDEN)
         }
     })
 }
 
-/// Answers an ask as soon as there is news: something has changed, or what the asker has was the newest state
-/// later than it knows. A router that can't reach the registry has what others hand on to it, so ages add up along
-/// a chain, and are stated so.
-async fn copy(state: &Shared, epoch: u64, ask: Ask) -> Response<Full<Bytes>> {
-    let came = now();
-    let theirs = came - ask.age;
+/// Answers a poll as soon as there is news: something has changed, or the poller's state is proved current at a later
+/// time than the poller knows. A router that can't reach the registry gets its state from others; the ages along such
+/// a chain add up, and the answer states the sum.
+async fn answer_poll(state: &Shared, epoch: u64, ask: Ask) -> Response<Full<Bytes>> {
+    let received_at = now();
+    let poller_proof = received_at - ask.age;
     let newer = |known: &RegistryState, by: Millis| {
-        let read = known.revision == ask.revision && known.read.since(theirs) >= by;
+        let read = known.revision == ask.revision && known.read.since(poller_proof) >= by;
         known.revision > ask.revision || read
     };
     let mut changes = state.changes.subscribe();
@@ -193,15 +195,15 @@
     let payload = match pack_since(state, ask.revision) {
         Some(pack) if pack.bytes() <= MAX_PACK_BYTES => {
             let now = now();
-            pack.encode(ask.nonce, now.since(known.read), now.since(came))
+            pack.encode(ask.nonce, now.since(known.read), now.since(received_at))
         }
         _ => return status(StatusCode::PAYLOAD_TOO_LARGE),
     };
     Response::new(Full::new(seal(&secret, epoch, payload)))
 }
 
-/// Packs what has changed since a revision; `None` where it is too much. The last pack is kept: after a
-/// change, all that follow it ask for the same.
+/// Packs the changes since a revision; `None` if they are too large or can't be packed. The last pack is cached, as
+/// after a change all pollers request the same one.
 fn pack_since(state: &Shared, since: Revision) -> Option<Rc<Pack>> {
     let until = state.mirror.borrow().revision();
     if let Some(kept) = &*state.cached_pack.borrow()
--- a/crates/gateway/src/sse.rs
+++ b/crates/gateway/src/sse.rs
@@ -1,7 +1,8 @@
-//! Server-sent events (WHATWG HTML, section 9.2), cut at their borders.
+//! Splits a stream of server-sent events (WHATWG HTML, section 9.2) into events.
 //!
-//! Only whole events go on to callers: an endpoint may stop in the middle of one, and another that
-//! goes on after the last whole event would else leave a torn one in between.
+//! Only complete events are forwarded to callers. An endpoint may fail in the middle of an event; if the caller had
+//! received its first part, an endpoint that resumes after the last complete event would leave a truncated event
+//! in the stream.
 
 use bytes::{
     Bytes,
@@ -12,28 +13,28 @@
     event_end, //
 };
 
-/// `EventSplitter` cuts a stream of bytes into whole events.
+/// `EventSplitter` splits a stream of bytes into complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     rest: BytesMut,
 }
 
-/// `Event` is one whole event with its blank line.
+/// `Event` is a complete event with its terminating blank line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its number, if it has one.
+    /// Its id, if it has a numeric one.
     pub id: Option<u64>,
     /// Its bytes.
     pub bytes: Bytes,
 }
 
 impl EventSplitter {
-    /// Takes bytes in.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.rest.extend_from_slice(bytes);
     }
 
-    /// Gets the next whole event.
+    /// Returns the next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = event_end(&self.rest, 0)?;
         let bytes = self.rest.split_to(end).freeze();
@@ -41,17 +42,17 @@
         Some(Event { id, bytes })
     }
 
-    /// Tells whether bytes of an event that is not whole are left.
+    /// Returns whether bytes are left that are not a complete event.
     pub fn has_partial(&self) -> bool {
         !self.rest.is_empty()
     }
 
-    /// Tells whether the event that is coming is longer than any may be.
+    /// Returns whether the incomplete event already exceeds [`MAX_EVENT`].
     pub fn is_overlong(&self) -> bool {
         self.rest.len() > MAX_EVENT
     }
 
-    /// Takes what is left.
+    /// Takes the remaining bytes.
     pub fn rest(&mut self) -> Bytes {
         self.rest.split().freeze()
     }
