--- a/crates/gateway/src/head_timeout.rs
+++ b/crates/gateway/src/head_timeout.rs
@@ -1,9 +1,9 @@
-//! The clock of a request's head, apart from the one of an idle connection.
+//! A time limit for receiving a request's head, separate from the idle timeout of the connection.
 //!
-//! A caller that sends a head byte by byte holds a connection and its buffers without a request.
-//! Seen as connections that are neither idle nor in the counts of requests. The library has one clock
-//! for an idle connection and a head together, so such a head could last for the idle time, which is
-//! minutes where callers keep connections: this one runs from a head's first byte.
+//! A caller that sends a head byte by byte holds a connection and its buffers without a request. Such connections
+//! show as neither idle nor in the counts of requests. The HTTP library has one timeout for the idle time and the
+//! head together, so such a head could last for the idle time, which is minutes where callers keep connections
+//! open. The limit here runs from the first byte of a head.
 
 use std::{
     cell::Cell,
@@ -37,21 +37,21 @@
     },
 };
 
-/// `ConnectionProgress` is how far a connection's requests are.
+/// `ConnectionProgress` tracks the requests of a connection.
 #[derive(Debug)]
 pub(crate) struct ConnectionProgress {
-    /// Heads that came whole.
+    /// Complete heads received.
     heads: Cell<u64>,
-    /// Requests whose answer has not ended.
+    /// Requests of this connection whose answer has not ended.
     open: Cell<u32>,
-    /// The same of all connections.
+    /// Requests of all connections whose answer has not ended.
     open_requests: Rc<Cell<usize>>,
-    /// When the last answer ended; `None` before the first request and while one is open.
+    /// When the last answer ended; `None` before the first request and while a request is open.
     idle: Cell<Option<Instant>>,
 }
 
 impl ConnectionProgress {
-    /// Makes that of a new connection; `open_requests` counts the open requests of all.
+    /// Creates the state of a new connection; `open_requests` counts the open requests of all connections.
     pub(crate) fn new(open_requests: &Rc<Cell<usize>>) -> Self {
         Self {
             heads: Cell::new(0),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Waits until the connection has been idle for `limit` after an answer.
+    /// Waits until the connection has been idle for `limit` since its last answer.
     pub(crate) async fn idle_for(&self, limit: Duration) {
         loop {
             let now = Instant::now();
@@ -74,12 +74,12 @@
     }
 }
 
-/// `OpenRequest` is a request from its whole head until its answer's end.
+/// `OpenRequest` counts a request as open from its complete head until the end of its answer; dropping it ends that.
 #[derive(Debug)]
 pub(crate) struct OpenRequest(Rc<ConnectionProgress>);
 
 impl OpenRequest {
-    /// Notes that a request's head came whole.
+    /// Records that the head of a request is complete.
     pub(crate) fn new(progress: &Rc<ConnectionProgress>) -> Self {
         progress.heads.set(progress.heads.get().wrapping_add(1));
         progress.open.set(progress.open.get() + 1);
@@ -99,7 +99,7 @@
     }
 }
 
-/// `TrackedBody` is an answer's body; its request is open until it is dropped.
+/// `TrackedBody` is the body of an answer; its request counts as open until it is dropped.
 #[derive(Debug)]
 pub(crate) struct TrackedBody<B> {
     pub(crate) body: B,
@@ -126,20 +126,20 @@
     }
 }
 
-/// `HeadTimeoutStream` is a caller's connection that breaks when a head takes too long.
+/// `HeadTimeoutStream` is a caller's connection whose reads fail when a request's head takes too long.
 #[derive(Debug)]
 pub(crate) struct HeadTimeoutStream {
     stream: TcpStream,
     progress: Rc<ConnectionProgress>,
     limit: Duration,
-    /// Number of the head that is being read, and when it must be whole.
+    /// Number of the head that is being received, and when it must be complete.
     head: Option<(u64, Instant)>,
-    /// Made only for a head that doesn't come at once: nearly all do.
+    /// Created only for a head that doesn't arrive in one read; nearly all do.
     timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl HeadTimeoutStream {
-    /// Makes a connection whose heads may take `limit`.
+    /// Wraps a connection whose request heads may take `limit`.
     pub(crate) fn new(
         stream: TcpStream,
         progress: &Rc<ConnectionProgress>,
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Notes that bytes came.
+    /// Records that bytes arrived; starts the time limit at the first byte of a head.
     fn note_bytes_received(&mut self) {
         let number = self.progress.heads.get();
         if self.progress.open.get() > 0 {
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Waits for the end of the time that the head has.
+    /// Polls for the deadline of the head that is being received.
     fn poll_head_timeout(&mut self, context: &mut Context<'_>) -> Poll<io::Error> {
         let number = self.progress.heads.get();
         let awaited = self.head.filter(|(n, _)| *n == number);
@@ -179,7 +179,7 @@
         ready!(timer.as_mut().poll(context));
         Poll::Ready(io::Error::new(
             io::ErrorKind::TimedOut,
-            "request head took too long",
+            "request head not complete within the time limit",
         ))
     }
 }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,8 +1,8 @@
-//! Connections to endpoints that are kept for the next request.
+//! Pool of idle connections to endpoints.
 //!
-//! A connection comes back only after a whole answer, and is taken again only while nothing on it
-//! is outstanding or unread. There is no silent retry: a request that met a closed connection is
-//! told as not sent, and whether another attempt follows is decided elsewhere.
+//! A connection returns to the pool only after a complete answer, and is reused only while nothing on it is
+//! outstanding or unread. The pool doesn't retry: a request that met a closed connection is reported as not sent, and
+//! the gateway decides whether another attempt follows.
 
 use std::{
     cell::RefCell,
@@ -23,17 +23,17 @@
     Error, //
 };
 
-/// Longest wait for a new connection: the opening packet of one that meets a full queue is sent
-/// again after a second, and an endpoint that doesn't answer is better left out.
+/// Longest wait for a new connection. If the endpoint's accept queue is full, TCP sends the SYN again only after a
+/// second; it is better to try another endpoint.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a connection is kept whose endpoint states no idle time: those state whole seconds, so
-/// theirs is less than one.
+/// Time for which a connection is kept if its endpoint states no idle time. Endpoints state whole seconds, so an
+/// unstated time is less than one.
 const DEFAULT_IDLE: Millis = Millis(400);
-/// By how much sooner than its endpoint a router gives up an idle connection, so that a request
-/// doesn't cross the close.
+/// Time before its endpoint's idle timeout at which a connection is closed, so that no request is sent while the
+/// endpoint closes it.
 const IDLE_MARGIN: Millis = Millis(350);
 
-/// `Pool` is the idle connections by endpoint.
+/// `Pool` holds the idle connections of each endpoint.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: RefCell<IndexMap<EndpointKey, Vec<Idle>>>,
@@ -46,7 +46,7 @@
 }
 
 impl Pool {
-    /// Takes the connection that was used last, if one is free.
+    /// Takes the most recently used connection that is ready, if any.
     pub fn take(&self, now: Time, endpoint: EndpointKey) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(&endpoint)?;
@@ -55,7 +55,7 @@
         Some(kept.remove(index).connection)
     }
 
-    /// Keeps a connection after a whole answer; `stated` is how long its endpoint keeps it idle.
+    /// Keeps a connection after a complete answer; `stated` is the idle time that its endpoint states.
     pub fn keep(
         &self,
         now: Time,
@@ -70,7 +70,7 @@
         kept.push(Idle { connection, until });
     }
 
-    /// Closes what has been idle for too long and what belongs to endpoints that are gone.
+    /// Closes connections that have been idle for too long or whose endpoint is not `listed` any more.
     pub fn tick(&self, now: Time, listed: impl Fn(EndpointKey) -> bool) {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|endpoint, kept| {
@@ -79,7 +79,7 @@
         });
     }
 
-    /// Opens a connection.
+    /// Opens a new connection to an endpoint.
     ///
     /// # Errors
     ///
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -1,4 +1,4 @@
-//! The life of a gateway process, from its sockets to its end.
+//! Start, settings reload and shutdown of a gateway process.
 
 use std::{
     net::{
@@ -62,26 +62,26 @@
     },
 };
 
-/// How often the settings are read again without a signal.
+/// Interval at which the settings are read again without a signal.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
-/// How often what has waited is looked at.
+/// Interval of timers: idle connections and the time-based decisions of the gateway.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a stopping process waits for callers on kept connections to send their next request,
-/// which is then answered as their last: two checks of a balancer that asks once a second, and
-/// the requests that come meanwhile.
+/// Time for which a stopping process still serves requests on open connections, each of which is answered as the last
+/// one of its connection. It allows for two checks of a load balancer that checks once a second, and the requests
+/// that arrive meanwhile.
 const LAST_REQUEST_WAIT: Duration = Duration::from_millis(3000);
-/// Time before the kill that a stopping process leaves unused.
+/// Time by which a stopping process ends before it would be killed.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
-/// How often a stopping process looks whether all connections have ended.
+/// Interval at which a stopping process checks whether all connections have ended.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs a gateway until a signal has stopped it; returns the requests that it cut.
+/// Runs a gateway until SIGTERM has stopped it; returns the number of requests that it cut off.
 ///
-/// `reload` reads the settings again: on SIGHUP, and now and then, as they may change without it.
+/// `reload` reads the settings again, on SIGHUP and periodically, as they may change without a signal.
 ///
 /// # Errors
 ///
-/// An address can't be listened on, or signals can't be watched.
+/// Fails if listening on an address or installing a signal handler fails.
 pub async fn run(
     settings: Settings,
     protocol: ProtocolAdapter,
@@ -103,26 +103,26 @@
     let mut term = signal(SignalKind::terminate()).context(SignalsSnafu)?;
     let mut hup = signal(SignalKind::hangup()).context(SignalsSnafu)?;
     let process = start(settings.clone(), protocol, reader).await?;
-    let mut again = interval(RELOAD_INTERVAL);
-    // Settings that stay bad are told of once.
-    let mut refused = None;
+    let mut reload_timer = interval(RELOAD_INTERVAL);
+    // The last error of `reload`: an error that repeats is logged once.
+    let mut last_error = None;
     loop {
         tokio::select! {
             _ = term.recv() => break,
             _ = hup.recv() => {}
-            _ = again.tick() => {}
+            _ = reload_timer.tick() => {}
         }
         match reload() {
-            Ok(new) if new == settings => refused = None,
+            Ok(new) if new == settings => last_error = None,
             Ok(new) => {
                 apply_settings(&process.state, &settings, &new);
                 settings = new;
-                refused = None;
+                last_error = None;
             }
-            Err(error) if refused.as_ref() == Some(&error) => {}
+            Err(error) if last_error.as_ref() == Some(&error) => {}
             Err(error) => {
                 tracing::error!(event = 604, error, "settings refused, the old ones hold");
-                refused = Some(error);
+                last_error = Some(error);
             }
         }
     }
@@ -130,8 +130,8 @@
     Ok(stop(&process.state, grace).await)
 }
 
-/// Follows new settings. Addresses and the router's own names stay as they were at the start: callers and peers
-/// that hold them would else be cut.
+/// Applies new bounds and seeds. Addresses and the router's own names stay as they were at the start, as a change
+/// would cut off callers and peers that use them.
 pub fn apply_settings(state: &Shared, old: &Settings, new: &Settings) {
     let named = old.id != new.id || old.data_center != new.data_center;
     let moved = named || old.listen != new.listen || old.registry != new.registry;
@@ -140,16 +140,16 @@
     state.mesh.borrow_mut().set_seeds(new.seeds.clone());
 }
 
-/// `Process` is a gateway that runs.
+/// `Process` is a running gateway.
 #[derive(Debug)]
 pub struct Process {
-    /// What its tasks share.
+    /// State that its tasks share.
     pub state: Shared,
-    /// Where callers are heard.
+    /// Address of the listener for callers.
     pub callers: SocketAddr,
-    /// Where readiness is told.
+    /// Address of the listener for readiness checks and metrics.
     pub ready: SocketAddr,
-    /// Where peers are heard.
+    /// Address of the listener for peers.
     pub peers: SocketAddr,
 }
 
@@ -157,7 +157,7 @@
 ///
 /// # Errors
 ///
-/// An address can't be listened on.
+/// Fails if listening on an address fails.
 pub async fn start(
     settings: Settings,
     protocol: ProtocolAdapter,
@@ -174,11 +174,13 @@
         own(&checks, listen.ready)?,
         own(&peers, listen.peers)?,
     );
-    let heard = SocketAddrV4::new(*listen.peers.ip(), addresses.2.port());
-    let socket = UdpSocket::bind(heard).await.context(context(heard))?;
+    let peer_address = SocketAddrV4::new(*listen.peers.ip(), addresses.2.port());
+    let socket = UdpSocket::bind(peer_address)
+        .await
+        .context(context(peer_address))?;
     let seed = toucanturn_clock::now().wall.0;
     let me = Heartbeat {
-        address: heard,
+        address: peer_address,
         data_center: Tag::of(settings.data_center.as_bytes()).0,
         incarnation: Incarnation(seed),
         beat: 0,
@@ -226,8 +228,8 @@
     }
 }
 
-/// Stops: not ready at once, then the last request on each connection, then the end; returns the
-/// requests that were cut.
+/// Stops the gateway: it reports not ready at once, answers the last request on each connection, and then closes the
+/// connections. Returns the number of requests that were cut off.
 pub async fn stop(state: &Shared, grace: Duration) -> usize {
     let began = Instant::now();
     let left = grace.saturating_sub(STOP_MARGIN);
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! Listeners: for callers, and for the balancer's checks and metrics.
+//! HTTP servers: for callers, and for peers, readiness checks and metrics.
 
 use std::{
     convert::Infallible,
@@ -51,27 +51,27 @@
     },
 };
 
-/// Pause after a connection could not be accepted, as when descriptors ran out.
+/// Pause after accepting a connection failed, for example because file descriptors ran out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Longest time that a connection of the balancer or a peer stays idle; they ask several times within.
+/// Idle timeout of connections from the load balancer and peers, which send several requests within it.
 const INTERNAL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time after its last answer from which on a caller's connection is closed: the time that callers are
-/// told, and one second for a request on its way.
+/// Idle timeout of a caller's connection after an answer: the time that callers are told, and one second for a request
+/// that is on its way.
 const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(exchange::KEEP_ALIVE_S + 1);
-/// Least buffer that the library takes.
+/// Smallest read buffer that the HTTP library accepts, in bytes.
 const MIN_BUFFER_BYTES: usize = 8192;
 
 /// Listens on an address.
 ///
 /// # Errors
 ///
-/// The address can't be used.
+/// Fails if the address can't be bound.
 pub async fn listen(address: SocketAddrV4) -> Result<TcpListener> {
     let bound = TcpListener::bind(address).await;
     bound.context(ListenSnafu { address })
 }
 
-/// Serves callers for good.
+/// Serves callers until the process ends.
 pub async fn callers(state: Shared, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -89,7 +89,7 @@
 
 async fn caller(state: Shared, stream: TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
-        tracing::debug!(%error, "connection ended at once");
+        tracing::debug!(%error, "can't set TCP_NODELAY, connection closed");
         return;
     }
     let limits = {
@@ -108,7 +108,7 @@
     let requests = Rc::clone(&progress);
     let service = service_fn(move |request| {
         let open = OpenRequest::new(&requests);
-        // In a box, as the library keeps room for one in each connection, also while it is idle.
+        // Boxed, as the HTTP library reserves space for this future in each connection, even an idle one.
         let answer = Box::pin(exchange::serve(shared.clone(), request));
         async move {
             let answer: Result<_, Infallible> = answer.await;
@@ -119,7 +119,7 @@
     tokio::pin!(connection);
     let mut phase = state.phase.subscribe();
     state.connections.set(state.connections.get() + 1);
-    // One that comes this late has a request on its way: closing it now would race with that.
+    // A connection accepted in this phase has a request on its way: a shutdown now would race with it.
     let mut closing = state.phase() == Phase::Closing;
     let ended = loop {
         tokio::select! {
@@ -136,17 +136,17 @@
     };
     state.connections.set(state.connections.get() - 1);
     if let Err(error) = ended {
-        tracing::debug!(%error, "caller's connection ended");
+        tracing::debug!(%error, "connection of a caller ended");
     }
 }
 
-/// Serves readiness and metrics for good.
+/// Serves readiness checks and metrics until the process ends.
 pub async fn checks(state: Shared, listener: TcpListener) {
     serve(state, listener, check).await;
 }
 
-/// Answers all that comes to a listener for good. Its callers are the balancer and peers, whose
-/// requests are short.
+/// Answers the requests to a listener until the process ends. They come from the load balancer and peers, and are
+/// short.
 pub(crate) async fn serve<F, A>(state: Shared, listener: TcpListener, answer: F)
 where
     F: Fn(Shared, Request<Incoming>) -> A + Copy + 'static,
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What all tasks of the process share.
+//! State that the tasks of the process share.
 
 use std::{
     cell::{
@@ -43,91 +43,92 @@
     protocol::ProtocolAdapter, //
 };
 
-/// Configurations whose secrets are remembered: routers follow a change at different moments, and
-/// several changes may come within a second.
+/// Number of configurations whose secrets are remembered. Routers apply a change at different times, and several
+/// changes may come within a second.
 const MAX_SECRETS: usize = 8;
 
-/// Time from the start within which the first read of the registry is expected. Routers that start together share
-/// the registry's link; without the wait, they would refuse what comes meanwhile.
+/// Time from the start for which requests wait for the first read of the registry. Routers that start together share
+/// the registry's link, so their first reads take long; without the wait, they would refuse the requests that
+/// arrive meanwhile.
 const FIRST_READ_TIMEOUT: Millis = Millis(700);
 
-/// `RegistryState` is the state of the registry that is known.
+/// `RegistryState` is the newest known state of the registry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RegistryState {
     /// Its revision.
     pub revision: Revision,
-    /// When it was last the newest state.
+    /// Time at which it was last known to be the newest state.
     pub read: Time,
 }
 
-/// `CachedPack` is changes of the registry that were packed for a peer, kept for the next that asks for the same.
+/// `CachedPack` is the changes last packed for a peer, kept for other peers that request the same ones.
 #[derive(Clone, Debug)]
 pub struct CachedPack {
-    /// Revision from which they lead.
+    /// Revision that the changes apply to.
     pub since: Revision,
-    /// Revision to which they lead.
+    /// Revision that they result in.
     pub until: Revision,
-    /// The changes.
+    /// The packed changes.
     pub pack: Rc<Pack>,
 }
 
-/// `Phase` is where the process is on its way to its end.
+/// `Phase` is the phase of the process, from serving to shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It serves.
+    /// It serves requests.
     Serving,
-    /// It is not ready any more and serves what comes on open connections, the last one on each.
+    /// It reports not ready, and answers the next request on each open connection as the connection's last.
     Stopping,
     /// It closes idle connections.
     Closing,
 }
 
-/// `State` is shared by all tasks; there is one thread.
+/// `State` is the state that all tasks share; they run on one thread.
 #[derive(Debug)]
 pub struct State {
     /// The decisions.
     pub gateway: RefCell<Gateway>,
     /// Idle connections to endpoints.
     pub pool: Pool,
-    /// How requests and answers look on the wire.
+    /// Wire format of requests and answers.
     pub protocol: ProtocolAdapter,
-    /// Counters and latencies.
+    /// Counters and latency histograms.
     pub metrics: Metrics,
-    /// The decision log.
+    /// Rate limit of the decision log.
     pub log: LogLimiter,
-    /// What is known of the other routers.
+    /// Known state of the other routers.
     pub mesh: RefCell<Mesh>,
-    /// The copy of the registry.
+    /// Local copy of the registry.
     pub mirror: RefCell<Mirror>,
-    /// Tells what is known whenever that changes.
+    /// Publishes the newest known state of the registry.
     pub changes: watch::Sender<RegistryState>,
-    /// Where the registry is.
+    /// Address of the registry.
     pub registry: SocketAddrV4,
-    /// When to read it.
+    /// Schedule of reads of the registry.
     pub reading: RefCell<ReadScheduler>,
-    /// Tells when a peer holds something newer that it doesn't hand on.
+    /// Wakes the reads when a peer has something newer that is too large to send.
     pub peer_withheld_update: Notify,
-    /// The changes that were last packed for peers.
+    /// The changes last packed for a peer.
     pub cached_pack: RefCell<Option<CachedPack>>,
-    /// Whether the copy comes from own reads.
+    /// Whether the local copy was last updated by an own read rather than by a peer.
     pub reads: Cell<bool>,
-    /// Until when the first read of the registry may be waited for.
+    /// Time until which requests may wait for the first read of the registry.
     first_read_until: Cell<Time>,
     /// Secrets of the newest configurations, by version.
     secrets: RefCell<VecDeque<(u64, Secret)>>,
-    /// Where the process is on its way to its end.
+    /// Phase of the process.
     pub phase: watch::Sender<Phase>,
-    /// Open connections of callers.
+    /// Number of open connections of callers.
     pub connections: Cell<usize>,
-    /// Requests whose answer has not ended.
+    /// Number of requests whose answer has not ended.
     pub requests: Rc<Cell<usize>>,
 }
 
-/// `Shared` is the state as tasks hold it.
+/// `Shared` is a task's reference to the state.
 pub type Shared = Rc<State>;
 
 impl State {
-    /// Makes the state of a process.
+    /// Creates the state of a process.
     pub fn new(
         gateway: Gateway,
         mesh: Mesh,
@@ -156,12 +157,12 @@
         })
     }
 
-    /// Gets the phase.
+    /// Returns the phase of the process.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Gets the secret of a configuration's version, if it is one of the newest.
+    /// Returns the secret of a configuration version, if it is one of the newest.
     pub fn secret(&self, version: u64) -> Option<Secret> {
         let secrets = self.secrets.borrow();
         let found = secrets.iter().find(|(held, _)| *held == version);
@@ -177,14 +178,15 @@
         }
     }
 
-    /// Notes that a read of the registry failed: nobody can say when the next one will do.
+    /// Records that a read of the registry failed. Requests then don't wait for the first read any longer, as it is
+    /// unknown when a read will succeed.
     pub fn read_failed(&self) {
         self.first_read_until.set(Time(0));
     }
 
-    /// Waits for the first read while it is under way and nothing says that it will fail. A request that
-    /// comes then is served some hundred milliseconds later; refused, its caller would come back after as
-    /// long, and to a router that may have started just now.
+    /// Waits until the first read has brought a configuration, while that is expected. A request that waits is served
+    /// some hundred milliseconds later. If it were refused, its caller would retry after as long, possibly at another
+    /// router that has just started.
     pub async fn wait_for_first_read(&self) {
         let left = self.first_read_until.get().since(now());
         let known = || self.gateway.borrow().catalog().is_some();
@@ -193,27 +195,27 @@
         }
         let mut changes = self.changes.subscribe();
         let read = changes.wait_for(|_| known());
-        // Whether it came in time is seen by the caller.
+        // The result is ignored: the caller checks whether a configuration is known.
         let _ = timeout(Duration::from_millis(left.0), read).await;
     }
 
-    /// Tells whether callers may be sent here.
+    /// Returns whether the load balancer may send callers to this router.
     pub fn ready(&self) -> bool {
         self.phase() == Phase::Serving && self.gateway.borrow().ready(now())
     }
 }
 
-/// Gets the time on a clock that counts suspension.
+/// Returns the time of a monotonic clock that includes time in suspension.
 pub fn now() -> Time {
     toucanturn_clock::now().mono
 }
 
-/// Gets a span of the decisions as the library takes it.
+/// Converts a time span of `toucanturn-core` to a [`Duration`].
 pub(crate) const fn duration(span: Millis) -> Duration {
     Duration::from_millis(span.0)
 }
 
-/// Gets a span in the decisions' unit.
+/// Converts a [`Duration`] to a time span of `toucanturn-core`.
 pub(crate) fn millis(span: Duration) -> Millis {
     Millis(u64::try_from(span.as_millis()).unwrap_or(u64::MAX))
 }
