--- a/crates/gateway/src/reads.rs
+++ b/crates/gateway/src/reads.rs
@@ -1,4 +1,5 @@
-//! Own reads of the registry: begun when they are due, several at the same time where answers are slow.
+//! Reads of the registry by this router. Reads start when they are due; where answers are slow, several run at the
+//! same time.
 
 use std::{
     rc::Rc,
@@ -61,53 +62,53 @@
 
 /// Longest wait for a connection to the registry.
 const REGISTRY_CONNECT_TIMEOUT: Duration = Duration::from_millis(900);
-/// Longest wait for the next piece of an answer that has begun.
+/// Longest wait for the next frame of an answer's body.
 const BODY_FRAME_TIMEOUT: Duration = Duration::from_millis(900);
-/// Longest wait for the first piece of what is newer, where the registry answers at once: it has it already,
-/// but a watch may hear nothing of it, and everything is read in its place.
+/// Added to twice the usual answer time, the longest wait for the head of a watch's answer. The registry already has
+/// what the watch asks for and usually answers at once, but a watch may receive nothing; then everything is read.
 const WATCH_HEAD_MARGIN: Millis = Millis(700);
-/// Longest time of an answer whose bytes come. A configuration of over a megabyte takes seconds on a narrow link,
-/// and a read that is cut begins anew.
+/// Longest time from the latest time for an answer's head to the end of its body. A configuration of over a megabyte
+/// takes seconds on a slow link, and a read that is cut off starts again from the beginning.
 const BODY_TIMEOUT: Duration = Duration::from_secs(4);
-/// Reads that fail in a row after which the registry counts as lost: one may be lost on the way.
+/// Consecutive failed reads after which the registry counts as lost: a single one may have been lost by the network.
 const FAILURES_UNTIL_LOST: u32 = 2;
-/// Connections to the registry that are kept open between reads.
+/// Most connections to the registry that are kept open between reads.
 const MAX_KEPT_CONNECTIONS: usize = 2;
 
 #[derive(Debug, Snafu)]
 enum Error {
     #[snafu(display("{source}"), context(false))]
     Call { source: client::Error },
-    #[snafu(display("expected the path of a call, found {path:?}"))]
+    #[snafu(display("expected a valid path of a call, found {path:?}"))]
     Path { path: String },
     #[snafu(display("{why}"))]
     Body { why: String },
-    #[snafu(display("the call that was made ahead has ended"))]
+    #[snafu(display("the speculative call ended without a result"))]
     SpeculativeCallEnded,
 }
 
-/// `FinishedRead` is a read that has ended.
+/// `FinishedRead` is the result of a read that has ended.
 struct FinishedRead {
     number: ReadId,
     sent: Time,
     calls: u32,
-    /// Its connection, unless something was wrong with it.
+    /// The client that it used, unless the read failed.
     http_client: Option<HttpClient>,
-    /// Whether the next read had better begin with everything.
+    /// Whether the next read should be a full one.
     restart: bool,
     result: Result<Delta, Error>,
 }
 
-/// `RegistryReads` is the reads under way.
+/// `RegistryReads` is the reads in progress and the idle connections.
 struct RegistryReads {
     running: JoinSet<FinishedRead>,
     abort_handles: IndexMap<ReadId, AbortHandle>,
     idle_clients: Vec<HttpClient>,
-    /// Whether the next read begins with everything, as changes could not be told.
+    /// Whether the next read is a full one, as the registry could not tell the changes.
     restart: bool,
 }
 
-/// Reads the registry for good.
+/// Reads the registry until the process ends.
 pub(crate) async fn run(state: Shared, reader: Rc<RegistryReader>) {
     let mut reads = RegistryReads {
         running: JoinSet::new(),
@@ -125,7 +126,7 @@
         }
         tokio::select! {
             ended = reads.running.join_next(), if !reads.running.is_empty() => {
-                // One that was given up has no result.
+                // An aborted read has no result.
                 if let Some(Ok(ended)) = ended {
                     reads.end(&state, ended, &reader);
                 }
@@ -155,7 +156,7 @@
 impl RegistryReads {
     fn begin(&mut self, state: &Shared, reader: &Rc<RegistryReader>, pace: &ReadTiming) {
         let sent = now();
-        // A router that knows no configuration reads everything: that is one call, as long as it is little.
+        // A router without a configuration reads everything: that is one call, unless the registry is large.
         let has_configuration = state.gateway.borrow().catalog().is_some();
         let incremental = has_configuration && !self.restart;
         let held = incremental.then(|| state.mirror.borrow().revision());
@@ -222,7 +223,7 @@
                 self.idle_clients.truncate(MAX_KEPT_CONNECTIONS);
             }
             Err(error) => {
-                // Whatever was wrong with it, the next read begins on a new connection.
+                // Whatever the cause of the failure, the next read uses a new connection.
                 self.idle_clients.clear();
                 state.read_failed();
                 state.metrics.count("registry", "failed");
@@ -238,7 +239,7 @@
     }
 }
 
-/// `RunningRead` is the calls of one read.
+/// `RunningRead` makes the calls of a read.
 struct RunningRead {
     state: Shared,
     number: ReadId,
@@ -267,7 +268,7 @@
         }
     }
 
-    /// Makes the calls of the read; gets what has changed.
+    /// Makes the calls of the read; returns the changes.
     async fn calls(
         &mut self,
         http_client: &mut HttpClient,
@@ -293,7 +294,7 @@
                 }
                 called => called?,
             };
-            // Whatever was wrong with an answer, what it should have told can't be asked for again.
+            // If processing this answer fails, its changes can't be requested again, so the next read is a full one.
             self.restart = true;
             match (read.on_body)(&body).map_err(|why| Error::Body { why })? {
                 RegistryStep::More(next) => {
@@ -329,7 +330,7 @@
             .await?)
     }
 
-    /// Makes a call at the same time as the read's first one, on a connection of its own.
+    /// Starts a call at the same time as the read's first one, on a separate connection.
     fn start_speculative_call(&mut self, path: String) -> SpeculativeCall {
         self.calls += 1;
         let mut http_client = HttpClient::new(self.state.registry);
@@ -348,7 +349,7 @@
     }
 }
 
-/// `SpeculativeCall` is a call that was made before its turn; dropping it gives it up.
+/// `SpeculativeCall` is a call that was started before it was known to be needed. Dropping it aborts the call.
 struct SpeculativeCall {
     path: String,
     call: JoinHandle<Result<bytes::Bytes, Error>>,
@@ -360,7 +361,8 @@
     }
 }
 
-/// Tells whether a watch hears nothing of what the registry has: it says nothing, or that its history is gone.
+/// Returns whether a watch can't deliver the changes: the registry sent no byte of a body in time, or answered that
+/// its history is gone.
 fn watch_unserved(error: &Error) -> bool {
     matches!(
         error,
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! What this process is told at its start, as JSON.
+//! Settings of the gateway, read from a JSON file.
 
 use std::net::SocketAddrV4;
 
@@ -21,30 +21,30 @@
     },
 };
 
-/// Part of a bound on the age of keys and routes that is left for what passes between the check and the
-/// endpoint's start, and for clocks that drift: a twentieth.
+/// A bound on the age of keys and routes is shortened by this fraction, a twentieth, for the time between the check
+/// and the start at the endpoint, and for clock drift.
 const PROOF_MARGIN_DIVISOR: u64 = 20;
-/// The same of the bound on endpoints that leave, which counts until a request reaches one: a tenth, as a VM whose
-/// quota is used up stands still for a while between the check and the sending.
+/// The bound on leaving endpoints is shortened by this fraction, a tenth. It covers the time until a request reaches
+/// an endpoint, and a VM that has used up its CPU quota is paused for a while between the check and the sending.
 const STAYING_MARGIN_DIVISOR: u64 = 10;
-/// Reads of the registry within the shortest bound on changes: one may be lost, one be slow.
+/// Number of reads of the registry within the shortest bound on changes: one may be lost and one may be slow.
 const READS_PER_BOUND: u64 = 3;
-/// Reads whose time must have passed without a proof before the registry counts as away, and how much longer:
-/// one may be lost, and one be on its way by a peer.
+/// Read intervals without a proof of the known state's age after which the registry counts as unavailable, with
+/// [`REGISTRY_AWAY_EXTRA`] on top: one read may be lost, and one may be on its way through a peer.
 const REGISTRY_AWAY_READS: u64 = 3;
 const REGISTRY_AWAY_EXTRA: Millis = Millis(500);
-/// Routers among which the fleet's extra retries are divided while their number is not known.
+/// Number of routers among which the fleet's extra retries are divided while the real number is unknown.
 const ASSUMED_FLEET_SIZE: u32 = 16;
-/// Seconds for which a request that has crashed endpoints is held back at first, unless the settings say otherwise.
+/// Default of [`PublishedBounds::hold_s`], in seconds.
 const DEFAULT_HOLD_S: f64 = 5.0;
-/// Part of the published share of retries that is used: windows of routers are not aligned.
+/// Fraction of the published retry share that is used, as the windows of the routers are not aligned.
 const RETRY_SHARE_USED: f64 = 0.8;
 
 /// `Settings` is the settings file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of this router.
+    /// Id of this router.
     pub id: String,
     /// Data centre where it runs.
     pub data_center: String,
@@ -52,23 +52,23 @@
     pub listen: Listen,
     /// Address of the registry.
     pub registry: SocketAddrV4,
-    /// Peers to begin with; some may be down.
+    /// Addresses of peers to contact first; some may be down.
     #[serde(default)]
     pub seeds: Vec<SocketAddrV4>,
-    /// Whether the whole fleet starts for the first time, so that no earlier life of this router may
-    /// just have used its part of the fleet's extra retries.
+    /// Whether the whole fleet starts for the first time. Otherwise, an earlier process of this router may just have
+    /// used the router's part of the fleet's extra retries.
     #[serde(default)]
     pub first_start: bool,
-    /// Bounds to keep.
+    /// Bounds that the router keeps.
     pub bounds: PublishedBounds,
 }
 
-/// Gets the seconds for which requests are held back where the settings don't say.
+/// Default of [`PublishedBounds::hold_s`].
 fn hold_s() -> f64 {
     DEFAULT_HOLD_S
 }
 
-/// Gets the multiple of a cold endpoint's rate where the settings don't say.
+/// Default of [`PublishedBounds::warmup_over`].
 fn warmup_over() -> f64 {
     1.0
 }
@@ -79,64 +79,65 @@
 pub struct Listen {
     /// For callers.
     pub callers: SocketAddrV4,
-    /// For the balancer's readiness checks, and metrics.
+    /// For the load balancer's readiness checks, and for metrics.
     pub ready: SocketAddrV4,
-    /// For peers, by TCP and UDP.
+    /// For peers, on TCP and UDP.
     pub peers: SocketAddrV4,
 }
 
-/// `PublishedBounds` is the bounds that operators publish for the place where the router runs.
+/// `PublishedBounds` is the bounds that the operators of the platform publish and the router must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PublishedBounds {
     /// Milliseconds within which a change of the configuration is in force.
     pub config_ms: u64,
-    /// Milliseconds after which a key that was taken away opens nothing.
+    /// Milliseconds after which a revoked key is refused.
     pub revoke_ms: u64,
     /// Milliseconds within which a leaving endpoint gets no more requests.
     pub leaving_ms: u64,
-    /// Milliseconds after which an evacuated data centre's endpoints get no more requests; none where data centres are
-    /// not evacuated.
+    /// Milliseconds after which the endpoints of an evacuated data centre get no more requests; `None` where data
+    /// centres are not evacuated.
     #[serde(default)]
     pub evacuation_ms: Option<u64>,
-    /// Multiple of the rate that a cold endpoint is published to tolerate, up to which all routers send it requests.
+    /// Limit of the rate at which all routers together send requests to a cold endpoint, as a multiple of the published
+    /// rate that it tolerates.
     #[serde(default = "warmup_over")]
     pub warmup_over: f64,
-    /// Requests within a second above that.
+    /// Requests per second above that limit.
     #[serde(default)]
     pub warmup_slack: f64,
-    /// Seconds from the signal to stop until the process is killed.
+    /// Seconds from SIGTERM until the process is killed.
     pub stop_s: f64,
-    /// Seconds after the registry's return within which lapsed entries come back.
+    /// Seconds after the end of a registry outage within which lapsed entries return.
     pub lapse_s: f64,
-    /// Greatest multiple of the mean load.
+    /// Highest load of an endpoint, as a multiple of the mean load.
     pub skew: f64,
-    /// Retries as a share of requests.
+    /// Allowed retries, as a share of requests.
     pub retry_share: f64,
-    /// Retries of the whole fleet besides that share.
+    /// Allowed retries of the whole fleet in addition to that share.
     pub retry_extra: f64,
-    /// Seconds over which both are counted.
+    /// Length in seconds of the window over which both are counted.
     pub retry_window_s: f64,
-    /// Seconds for which a request is held back at first that has crashed endpoints; 0 holds nothing back.
+    /// Seconds for which a request that has crashed endpoints is held back the first time; 0 disables holding back.
     #[serde(default = "hold_s")]
     pub hold_s: f64,
 }
 
-/// `Error` says why settings are refused.
+/// `Error` is why settings are refused.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// They are not the JSON that is expected.
+    /// The text is not valid JSON or lacks the expected structure.
     #[snafu(display("expected settings as JSON: {source}"))]
     Json {
-        /// Where and why.
+        /// The cause, with line and column.
         source: serde_json::Error,
     },
     /// A bound is out of range.
     #[snafu(display("expected `bounds.{name}` to be {expected}"))]
     Bound {
-        /// Its name.
+        /// Name of the bound.
         name: &'static str,
-        /// What it should be.
+        /// The allowed range.
         expected: &'static str,
     },
 }
@@ -192,13 +193,13 @@
         Ok(())
     }
 
-    /// Gets the time between reads of the registry.
+    /// Returns the time between reads of the registry.
     pub fn read_interval(&self) -> Millis {
         let evacuation = self.evacuation_ms.unwrap_or(u64::MAX);
         Millis(self.config_ms.min(self.leaving_ms).min(evacuation) / READS_PER_BOUND)
     }
 
-    /// Gets the bounds that the decisions keep.
+    /// Converts the settings to the bounds of the gateway decisions.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
