--- a/crates/gateway/tests/catalogue.rs
+++ b/crates/gateway/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! docs/EVENTS.md, docs/METRICS.md and the code.
+//! Checks that docs/EVENTS.md and docs/METRICS.md list exactly the events, metrics and causes of refusal in the code.
 
 #![expect(clippy::expect_used, reason = "a test fails by its panic")]
 
@@ -15,20 +15,22 @@
 }
 
 fn source() -> String {
-    let folder = fs::read_dir(root().join("src")).expect("it is a folder");
-    let files = folder.map(|e| fs::read_to_string(e.expect("it is readable").path()));
-    files.map(|f| f.expect("it is text")).collect()
+    let folder = fs::read_dir(root().join("src")).expect("src is a readable folder");
+    let files = folder.map(|e| fs::read_to_string(e.expect("a folder entry is readable").path()));
+    files.map(|f| f.expect("a source file is UTF-8")).collect()
 }
 
-/// Gets the section on the gateway of a page.
+/// Returns the section about the gateway of a page in docs.
 fn section(page: &str) -> String {
-    let text = fs::read_to_string(root().join("../../docs").join(page)).expect("it is a page");
-    let (_, section) = text.split_once("## Of the gateway").expect("it has one");
+    let text = fs::read_to_string(root().join("../../docs").join(page)).expect("the page exists");
+    let (_, section) = text
+        .split_once("## Of the gateway")
+        .expect("the page has a section about the gateway");
     section.to_owned()
 }
 
-/// Gets the first column of the section's first table.
-fn listed(page: &str) -> BTreeSet<String> {
+/// Returns the first column of the first table in the section about the gateway.
+fn first_column(page: &str) -> BTreeSet<String> {
     let section = section(page);
     let rows = section.lines().skip_while(|l| !l.starts_with("|---"));
     let rows = rows.skip(1).take_while(|l| l.starts_with('|'));
@@ -36,8 +38,8 @@
     cells.map(|c| c.trim().to_owned()).collect()
 }
 
-/// Gets what stands between `before` and `after` wherever they occur.
-fn named(text: &str, before: &str, after: char) -> BTreeSet<String> {
+/// Returns the texts between each `before` and the next `after`.
+fn texts_between(text: &str, before: &str, after: char) -> BTreeSet<String> {
     let parts = text.split(before).skip(1);
     let names = parts.filter_map(|p| p.split(after).next());
     names.map(|n| n.trim().to_owned()).collect()
@@ -45,16 +47,16 @@
 
 #[gtest]
 fn verify_every_event_is_listed_and_no_other() {
-    let written = named(&source(), "event = ", ',');
-    expect_that!(written, eq(&listed("EVENTS.md")));
+    let in_code = texts_between(&source(), "event = ", ',');
+    expect_that!(in_code, eq(&first_column("EVENTS.md")));
 }
 
 #[gtest]
 fn verify_every_metric_is_listed_and_no_other() {
     let text = source();
-    let mut written = named(&text, "metrics.count(\"", '"');
-    written.extend(named(&text, "metrics.time(\"", '"'));
-    expect_that!(written, eq(&listed("METRICS.md")));
+    let mut in_code = texts_between(&text, "metrics.count(\"", '"');
+    in_code.extend(texts_between(&text, "metrics.time(\"", '"'));
+    expect_that!(in_code, eq(&first_column("METRICS.md")));
 }
 
 #[gtest]
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway: what is taken, and what is refused with a clear word.
+//! Settings of a gateway: which are valid, and that the error of invalid ones names what is wrong.
 
 #![expect(clippy::expect_used, reason = "a test fails by its panic")]
 
@@ -12,23 +12,23 @@
   "bounds":{"config_ms":2000,"revoke_ms":5000,"leaving_ms":2000,"stop_s":8,"lapse_s":2,"skew":2,
     "retry_share":0.2,"retry_extra":54,"retry_window_s":10}}"#;
 
-fn refused(from: &str, to: &str) -> String {
+fn error_of(from: &str, to: &str) -> String {
     let text = GOOD.replace(from, to);
     assert!(text != GOOD, "the case changes nothing");
     let settings = Settings::try_from(text.as_bytes());
-    settings.expect_err("they are refused").to_string()
+    settings.expect_err("the settings are refused").to_string()
 }
 
 #[gtest]
 fn verify_bounds_follow_from_what_is_published() {
-    let settings = Settings::try_from(GOOD.as_bytes()).expect("they are valid");
+    let settings = Settings::try_from(GOOD.as_bytes()).expect("the settings are valid");
     let bounds = settings.bounds.bounds();
     expect_that!(bounds.keys, eq(Millis(4750)));
     expect_that!(bounds.routes, eq(Millis(1900)));
     expect_that!(bounds.staying, eq(Millis(1800)));
     expect_that!(bounds.lapse, eq(Millis(2000)));
     expect_that!(settings.bounds.read_interval(), eq(Millis(666)));
-    // Above what a peer's copy may be old in calm times: two reads and a wait.
+    // Above the normal maximum age of a peer's copy: two read intervals and a long poll's wait.
     expect_that!(bounds.away, gt(Millis(666 * 2 + 500)));
     expect_that!(bounds.retry.share.0, eq(160));
     expect_that!(bounds.hold.first, eq(Millis(5000)));
@@ -36,28 +36,28 @@
 
 #[gtest]
 fn verify_what_cannot_be_used_is_named() {
-    expect_that!(refused("\"id\":\"r1\",", ""), contains_substring("id"));
+    expect_that!(error_of("\"id\":\"r1\",", ""), contains_substring("id"));
     expect_that!(
-        refused("\"id\"", "\"other\":1,\"id\""),
+        error_of("\"id\"", "\"other\":1,\"id\""),
         contains_substring("other")
     );
-    expect_that!(refused("10.0.0.9:90", "store"), contains_substring("JSON"));
-    expect_that!(refused("5000", "\"x\""), contains_substring("JSON"));
-    expect_that!(refused("5000", "0"), contains_substring("revoke_ms"));
+    expect_that!(error_of("10.0.0.9:90", "store"), contains_substring("JSON"));
+    expect_that!(error_of("5000", "\"x\""), contains_substring("JSON"));
+    expect_that!(error_of("5000", "0"), contains_substring("revoke_ms"));
     expect_that!(
-        refused("\"skew\":2", "\"skew\":0.5"),
+        error_of("\"skew\":2", "\"skew\":0.5"),
         contains_substring("skew")
     );
     expect_that!(
-        refused("\"stop_s\":8", "\"stop_s\":-1"),
+        error_of("\"stop_s\":8", "\"stop_s\":-1"),
         contains_substring("stop_s")
     );
     expect_that!(
-        refused("\"retry_share\":0.2", "\"retry_share\":1e9"),
+        error_of("\"retry_share\":0.2", "\"retry_share\":1e9"),
         contains_substring("retry_share")
     );
     expect_that!(
-        refused("\"skew\":2", "\"skew\":2,\"hold_s\":4000"),
+        error_of("\"skew\":2", "\"skew\":2,\"hold_s\":4000"),
         contains_substring("hold_s")
     );
     for (name, value) in [
@@ -67,24 +67,24 @@
         ("warmup_slack", "1e9"),
     ] {
         let with = format!("\"skew\":2,\"{name}\":{value}");
-        expect_that!(refused("\"skew\":2", &with), contains_substring(name));
+        expect_that!(error_of("\"skew\":2", &with), contains_substring(name));
     }
-    expect_that!(refused("}}", "}"), contains_substring("JSON"));
+    expect_that!(error_of("}}", "}"), contains_substring("JSON"));
 }
 
-/// What a service publishes of its cold endpoints holds as it is where the settings say nothing.
+/// Without `warmup_over` and `warmup_slack`, the published bounds of a service's cold endpoints apply unchanged.
 #[gtest]
 fn verify_bounds_of_evacuations_and_cold_endpoints_may_be_left_out() {
-    let plain = Settings::try_from(GOOD.as_bytes()).expect("they are valid");
-    let bounds = plain.bounds.bounds();
+    let defaults = Settings::try_from(GOOD.as_bytes()).expect("the settings are valid");
+    let bounds = defaults.bounds.bounds();
     expect_that!(bounds.evacuation, none());
     expect_that!((bounds.warmup.over.0, bounds.warmup.slack), eq((1000, 0)));
     let more = "\"skew\":2,\"evacuation_ms\":1500,\"warmup_over\":1.5,\"warmup_slack\":5";
     let text = GOOD.replace("\"skew\":2", more);
-    let settings = Settings::try_from(text.as_bytes()).expect("they are valid");
+    let settings = Settings::try_from(text.as_bytes()).expect("the settings are valid");
     let bounds = settings.bounds.bounds();
     expect_that!(bounds.evacuation, some(eq(Millis(1425))));
     expect_that!((bounds.warmup.over.0, bounds.warmup.slack), eq((1500, 5)));
-    // An evacuation must be known in time, too.
+    // The read interval also follows from the bound on evacuations.
     expect_that!(settings.bounds.read_interval(), eq(Millis(500)));
 }
--- a/crates/gatewayd/src/main.rs
+++ b/crates/gatewayd/src/main.rs
@@ -1,7 +1,7 @@
-//! `toucanturn-gatewayd`, one router of the fleet on the users' platform.
+//! `toucanturn-gatewayd` is a router of the fleet on the users' platform.
 //!
-//! The platform names the settings file in an environment variable and serves until SIGTERM. It is a
-//! program of its own, without the own interface, as each of its pages in memory is paid for on every VM.
+//! It reads the settings file that the platform names in an environment variable, and serves until SIGTERM. It is
+//! separate from `toucanturnd` and lacks that daemon's own interface to save memory, which is needed on every VM.
 
 #![forbid(unsafe_code)]
 
@@ -9,15 +9,17 @@
 
 mod run;
 
-/// Exit code of bad input.
+/// Exit code for invalid settings and for errors at the start.
 const BAD_INPUT: u8 = 1;
 
-/// Exit code of wrong usage.
+/// Exit code if the platform names no settings file.
 const WRONG_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
     let Some(path) = toucanturn_platform::settings_path() else {
-        eprintln!("toucanturn-gatewayd: the platform has named no settings file");
+        eprintln!(
+            "toucanturn-gatewayd: no settings file: the platform's environment variable is not set"
+        );
         return ExitCode::from(WRONG_USAGE);
     };
     match run::run(&path) {
--- a/crates/gatewayd/src/run.rs
+++ b/crates/gatewayd/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs the router as a gateway on the users' platform.
+//! Runs the gateway with the translations for the users' platform.
 
 use std::{
     path::Path,
@@ -21,10 +21,10 @@
     WorkerGuard, //
 };
 
-/// Log lines that wait for a slow reader before further ones are dropped.
+/// Log lines that are buffered for a slow reader before further ones are dropped.
 const MAX_BUFFERED_LOG_LINES: usize = 2000;
 
-/// `Error` says why the gateway could not start.
+/// `Error` is why the gateway could not start.
 #[derive(Debug, Snafu)]
 pub(crate) enum Error {
     #[snafu(display("can't read {}", path.display()))]
@@ -45,11 +45,11 @@
     },
 }
 
-/// Runs the gateway until a signal has stopped it.
+/// Runs the gateway until SIGTERM has stopped it. The exit code is a failure if requests were cut off.
 pub(crate) fn run(path: &Path) -> Result<ExitCode, Error> {
     let settings = read(path)?;
     let _guard = log_to_stdout();
-    // One thread: the entry VMs have a part of one core.
+    // One thread, as the VMs that run the gateway have a fraction of one core.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -70,8 +70,8 @@
     Settings::try_from(text.as_slice()).context(SettingsSnafu { path })
 }
 
-/// Writes log lines as JSON from a thread of their own: a reader that doesn't read must not hold
-/// requests up, so lines beyond [`MAX_BUFFERED_LOG_LINES`] are dropped.
+/// Writes log lines to standard output as JSON, from a separate thread. A reader that stops reading must not delay
+/// requests, so lines beyond [`MAX_BUFFERED_LOG_LINES`] are dropped.
 fn log_to_stdout() -> WorkerGuard {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
--- a/crates/gatewayd/tests/gateway.rs
+++ b/crates/gatewayd/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! The daemon as a gateway on the users' platform: its start, its signals and its end.
+//! Start, signals and shutdown of the gateway daemon.
 
 #![expect(clippy::expect_used, reason = "a test fails by its panic")]
 
@@ -21,7 +21,7 @@
 use serde_json::Value;
 use toucanturn_platform::names::SETTINGS_VARIABLE;
 
-/// Settings of a gateway whose registry refuses connections.
+/// Returns settings of a gateway whose registry refuses connections.
 fn settings(stop_s: f64) -> String {
     let any = "127.0.0.1:0";
     serde_json::json!({
@@ -33,7 +33,7 @@
     .to_string()
 }
 
-/// A running daemon; dropping it ends it.
+/// A running daemon; dropping it kills the process.
 struct Daemon {
     child: Child,
     lines: BufReader<std::process::ChildStdout>,
@@ -46,25 +46,25 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
             .spawn()
-            .expect("it starts");
-        let lines = BufReader::new(child.stdout.take().expect("it is piped"));
+            .expect("the daemon starts");
+        let lines = BufReader::new(child.stdout.take().expect("the output is piped"));
         Self { child, lines }
     }
 
     /// Reads the next log line.
     fn next(&mut self) -> Value {
         let mut line = String::new();
-        let read = self.lines.read_line(&mut line).expect("it writes text");
+        let read = self.lines.read_line(&mut line).expect("the log is UTF-8");
         assert!(read > 0, "the log has ended");
         serde_json::from_str(&line).expect("a line is JSON")
     }
 
-    /// Reads log lines until one of `event`; gives it.
+    /// Reads log lines until one of `event`; returns it.
     fn until(&mut self, event: u64) -> Value {
         self.until_one_of(&[event])
     }
 
-    /// Reads log lines until one of several events; gives it.
+    /// Reads log lines until one of several events; returns it.
     fn until_one_of(&mut self, events: &[u64]) -> Value {
         loop {
             let line = self.next();
@@ -81,13 +81,13 @@
     }
 
     fn end(&mut self) -> ExitStatus {
-        self.child.wait().expect("it ends")
+        self.child.wait().expect("the daemon can be waited for")
     }
 }
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        // It may have ended already.
+        // Fails if the process has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -95,15 +95,15 @@
 
 #[gtest]
 fn verify_it_starts_follows_its_settings_and_stops_by_signal() {
-    let folder = tempfile::tempdir().expect("there is room");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let path = folder.path().join("settings.json");
-    std::fs::write(&path, settings(2.0)).expect("it can be written");
+    std::fs::write(&path, settings(2.0)).expect("the file can be written");
     let mut daemon = Daemon::start(&path);
     expect_that!(daemon.until(600)["id"], eq(&Value::from("r1")));
-    std::fs::write(&path, "{").expect("it can be written");
+    std::fs::write(&path, "{").expect("the file can be written");
     daemon.signal("HUP");
     daemon.until(604);
-    std::fs::write(&path, settings(0.5)).expect("it can be written");
+    std::fs::write(&path, settings(0.5)).expect("the file can be written");
     daemon.signal("HUP");
     expect_that!(daemon.until(605)["needs_restart"], eq(&Value::from(false)));
     daemon.signal("TERM");
@@ -112,19 +112,19 @@
     expect_that!(daemon.end().code(), some(eq(0)));
 }
 
-/// Replaces a file as a whole: reloads that are pending must not find it empty.
+/// Replaces a file atomically, so that a pending reload doesn't find it empty.
 fn replace(path: &Path, text: &str) {
     let new = path.with_extension("new");
-    std::fs::write(&new, text).expect("it can be written");
-    std::fs::rename(&new, path).expect("it can be replaced");
+    std::fs::write(&new, text).expect("the file can be written");
+    std::fs::rename(&new, path).expect("the file can be replaced");
 }
 
-/// Settings that are bad leave the old ones in force, with one line for each fault, however often they are read.
+/// Invalid settings leave the old ones in force, and log one line per fault, however often they are read.
 #[gtest]
 fn verify_bad_settings_are_told_of_once() {
-    let folder = tempfile::tempdir().expect("there is room");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let path = folder.path().join("settings.json");
-    std::fs::write(&path, settings(0.5)).expect("it can be written");
+    std::fs::write(&path, settings(0.5)).expect("the file can be written");
     let mut daemon = Daemon::start(&path);
     daemon.until(600);
     for (number, bad) in ["{", "["].iter().enumerate() {
@@ -142,38 +142,38 @@
     }
 }
 
-/// What a router can't follow without a cut is said, and not followed.
+/// Changes that would cut off callers or peers are not applied, and event 605 says that they need a restart.
 #[gtest]
 fn verify_what_needs_a_restart_is_said() {
-    let folder = tempfile::tempdir().expect("there is room");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let path = folder.path().join("settings.json");
     let changes = [
         ("\"data_center\":\"a\"", "\"data_center\":\"b\""),
         ("\"id\":\"r1\"", "\"id\":\"r2\""),
         ("127.0.0.1:1", "127.0.0.1:2"),
     ];
-    std::fs::write(&path, settings(0.5)).expect("it can be written");
+    std::fs::write(&path, settings(0.5)).expect("the file can be written");
     let mut daemon = Daemon::start(&path);
     daemon.until(600);
     for (old, new) in changes {
-        std::fs::write(&path, settings(0.5).replace(old, new)).expect("it can be written");
+        std::fs::write(&path, settings(0.5).replace(old, new)).expect("the file can be written");
         daemon.signal("HUP");
         let said = daemon.until(605);
         expect_that!(said["needs_restart"], eq(&Value::from(true)), "{new}");
     }
 }
 
-/// A router that stops is not ended by a change of its settings: its requests would be cut.
+/// A change of settings must not end a stopping router early, as that would cut off its requests.
 #[gtest]
 fn verify_a_reload_while_it_stops_ends_nothing() {
-    let folder = tempfile::tempdir().expect("there is room");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let path = folder.path().join("settings.json");
-    std::fs::write(&path, settings(1.0)).expect("it can be written");
+    std::fs::write(&path, settings(1.0)).expect("the file can be written");
     let mut daemon = Daemon::start(&path);
     daemon.until(600);
     daemon.signal("TERM");
     daemon.until(691);
-    std::fs::write(&path, "{").expect("it can be written");
+    std::fs::write(&path, "{").expect("the file can be written");
     for _ in 0..3 {
         daemon.signal("HUP");
     }
@@ -183,7 +183,7 @@
 
 #[gtest]
 fn verify_settings_that_cannot_be_used_end_the_start() {
-    let folder = tempfile::tempdir().expect("there is room");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let path = folder.path().join("settings.json");
     let bad = [
         "{".to_owned(),
@@ -191,14 +191,16 @@
         settings(2.0).replace("127.0.0.1:0", "192.0.2.1:0"),
     ];
     for text in bad {
-        std::fs::write(&path, &text).expect("it can be written");
+        std::fs::write(&path, &text).expect("the file can be written");
         let mut daemon = Daemon::start(&path);
         expect_that!(daemon.end().code(), some(eq(1)), "{text}");
         let mut said = String::new();
-        let mut errors = daemon.child.stderr.take().expect("it is piped");
-        errors.read_to_string(&mut said).expect("it is text");
+        let mut errors = daemon.child.stderr.take().expect("the output is piped");
+        errors
+            .read_to_string(&mut said)
+            .expect("the error output is UTF-8");
         expect_that!(said, starts_with("toucanturn-gatewayd: "));
     }
-    std::fs::remove_file(&path).expect("it is there");
+    std::fs::remove_file(&path).expect("the file exists");
     expect_that!(Daemon::start(&path).end().code(), some(eq(1)));
 }
