--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -43,7 +43,7 @@
     /// Processes the body of an answer.
     pub on_body: Box<OnBody>,
     /// Begins a full read in place of a read of changes.
-    pub restart: fn() -> RegistryRead,
+    pub full_read: fn() -> RegistryRead,
 }
 
 /// `RecordMeaning` is the change that a record stands for, if any, and why it is invalid, if it is.
--- a/crates/gateway/src/head_timeout.rs
+++ b/crates/gateway/src/head_timeout.rs
@@ -41,23 +41,23 @@
 #[derive(Debug)]
 pub(crate) struct ConnectionProgress {
     /// Complete heads received.
-    heads: Cell<u64>,
+    heads_completed: Cell<u64>,
     /// Requests of this connection whose answer has not ended.
-    open: Cell<u32>,
+    open_requests: Cell<u32>,
     /// Requests of all connections whose answer has not ended.
-    open_requests: Rc<Cell<usize>>,
+    all_open_requests: Rc<Cell<usize>>,
     /// When the last answer ended; `None` before the first request and while a request is open.
-    idle: Cell<Option<Instant>>,
+    idle_since: Cell<Option<Instant>>,
 }
 
 impl ConnectionProgress {
-    /// Creates the state of a new connection; `open_requests` counts the open requests of all connections.
-    pub(crate) fn new(open_requests: &Rc<Cell<usize>>) -> Self {
+    /// Creates the state of a new connection; `all_open_requests` counts the open requests of all connections.
+    pub(crate) fn new(all_open_requests: &Rc<Cell<usize>>) -> Self {
         Self {
-            heads: Cell::new(0),
-            open: Cell::new(0),
-            open_requests: Rc::clone(open_requests),
-            idle: Cell::new(None),
+            heads_completed: Cell::new(0),
+            open_requests: Cell::new(0),
+            all_open_requests: Rc::clone(all_open_requests),
+            idle_since: Cell::new(None),
         }
     }
 
@@ -65,7 +65,7 @@
     pub(crate) async fn idle_for(&self, limit: Duration) {
         loop {
             let now = Instant::now();
-            match self.idle.get().map(|since| since + limit) {
+            match self.idle_since.get().map(|since| since + limit) {
                 Some(end) if end <= now => return,
                 Some(end) => sleep_until(end).await,
                 None => sleep_until(now + limit).await,
@@ -74,27 +74,33 @@
     }
 }
 
-/// `OpenRequest` counts a request as open from its complete head until the end of its answer; dropping it ends that.
+/// `OpenRequest` counts a request as open, from its complete head until it is dropped at the end of the answer.
 #[derive(Debug)]
 pub(crate) struct OpenRequest(Rc<ConnectionProgress>);
 
 impl OpenRequest {
     /// Records that the head of a request is complete.
     pub(crate) fn new(progress: &Rc<ConnectionProgress>) -> Self {
-        progress.heads.set(progress.heads.get().wrapping_add(1));
-        progress.open.set(progress.open.get() + 1);
+        progress
+            .heads_completed
+            .set(progress.heads_completed.get().wrapping_add(1));
         progress.open_requests.set(progress.open_requests.get() + 1);
-        progress.idle.set(None);
+        progress
+            .all_open_requests
+            .set(progress.all_open_requests.get() + 1);
+        progress.idle_since.set(None);
         Self(Rc::clone(progress))
     }
 }
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
         self.0.open_requests.set(self.0.open_requests.get() - 1);
-        if self.0.open.get() == 0 {
-            self.0.idle.set(Some(Instant::now()));
+        self.0
+            .all_open_requests
+            .set(self.0.all_open_requests.get() - 1);
+        if self.0.open_requests.get() == 0 {
+            self.0.idle_since.set(Some(Instant::now()));
         }
     }
 }
@@ -156,8 +162,8 @@
 
     /// Records that bytes arrived; starts the time limit at the first byte of a head.
     fn note_bytes_received(&mut self) {
-        let number = self.progress.heads.get();
-        if self.progress.open.get() > 0 {
+        let number = self.progress.heads_completed.get();
+        if self.progress.open_requests.get() > 0 {
             self.head = None;
         } else if self.head.is_none_or(|(n, _)| n != number) {
             self.head = Some((number, Instant::now() + self.limit));
@@ -166,7 +172,7 @@
 
     /// Polls for the deadline of the head that is being received.
     fn poll_head_timeout(&mut self, context: &mut Context<'_>) -> Poll<io::Error> {
-        let number = self.progress.heads.get();
+        let number = self.progress.heads_completed.get();
         let awaited = self.head.filter(|(n, _)| *n == number);
         let Some((_, end)) = awaited else {
             self.timer = None;
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -86,7 +86,7 @@
         /// The cause.
         source: client::Error,
     },
-    /// The answer can't be opened with a known configuration's secret, or not be decoded.
+    /// The answer can't be opened with a known configuration's secret, or can't be decoded.
     #[snafu(display("{source}"), context(false))]
     Message {
         /// The cause.
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -133,9 +133,14 @@
 /// Applies new bounds and seeds. Addresses and the router's own names stay as they were at the start, as a change
 /// would cut off callers and peers that use them.
 pub fn apply_settings(state: &Shared, old: &Settings, new: &Settings) {
-    let named = old.id != new.id || old.data_center != new.data_center;
-    let moved = named || old.listen != new.listen || old.registry != new.registry;
-    tracing::info!(event = 605, needs_restart = moved, "settings changed");
+    let identity_changed = old.id != new.id || old.data_center != new.data_center;
+    let restart_needed =
+        identity_changed || old.listen != new.listen || old.registry != new.registry;
+    tracing::info!(
+        event = 605,
+        needs_restart = restart_needed,
+        "settings changed"
+    );
     state.gateway.borrow_mut().set_bounds(new.bounds.bounds());
     state.mesh.borrow_mut().set_seeds(new.seeds.clone());
 }
@@ -168,25 +173,25 @@
     let callers = server::listen(listen.callers).await?;
     let peers = server::listen(listen.peers).await?;
     let context = |address| ListenSnafu { address };
-    let own = |l: &TcpListener, a: SocketAddrV4| l.local_addr().context(context(a));
+    let local_address = |l: &TcpListener, a: SocketAddrV4| l.local_addr().context(context(a));
     let addresses = (
-        own(&callers, listen.callers)?,
-        own(&checks, listen.ready)?,
-        own(&peers, listen.peers)?,
+        local_address(&callers, listen.callers)?,
+        local_address(&checks, listen.ready)?,
+        local_address(&peers, listen.peers)?,
     );
     let peer_address = SocketAddrV4::new(*listen.peers.ip(), addresses.2.port());
     let socket = UdpSocket::bind(peer_address)
         .await
         .context(context(peer_address))?;
     let seed = toucanturn_clock::now().wall.0;
-    let me = Heartbeat {
+    let own_rumor = Heartbeat {
         address: peer_address,
         data_center: Tag::of(settings.data_center.as_bytes()).0,
         incarnation: Incarnation(seed),
         beat: 0,
         reads: false,
     };
-    let mesh = Mesh::new(me, settings.seeds.clone());
+    let mesh = Mesh::new(own_rumor, settings.seeds.clone());
     let mut gateway = Gateway::new(settings.bounds.bounds(), seed);
     if !settings.first_start {
         gateway.restarted(now());
--- a/crates/gateway/src/reads.rs
+++ b/crates/gateway/src/reads.rs
@@ -64,10 +64,10 @@
 const REGISTRY_CONNECT_TIMEOUT: Duration = Duration::from_millis(900);
 /// Longest wait for the next frame of an answer's body.
 const BODY_FRAME_TIMEOUT: Duration = Duration::from_millis(900);
-/// Added to twice the usual answer time, the longest wait for the head of a watch's answer. The registry already has
-/// what the watch asks for and usually answers at once, but a watch may receive nothing; then everything is read.
+/// The head of a watch's answer is waited for twice the usual time of an answer plus this margin. The registry already
+/// has what the watch asks for and answers at once as a rule, but a watch may receive nothing; then everything is read.
 const WATCH_HEAD_MARGIN: Millis = Millis(700);
-/// Longest time from the latest time for an answer's head to the end of its body. A configuration of over a megabyte
+/// Time that a call may take in addition to its limit for the head of the answer. A configuration of over a megabyte
 /// takes seconds on a slow link, and a read that is cut off starts again from the beginning.
 const BODY_TIMEOUT: Duration = Duration::from_secs(4);
 /// Consecutive failed reads after which the registry counts as lost: a single one may have been lost by the network.
@@ -95,7 +95,7 @@
     /// The client that it used, unless the read failed.
     http_client: Option<HttpClient>,
     /// Whether the next read should be a full one.
-    restart: bool,
+    full_next: bool,
     result: Result<Delta, Error>,
 }
 
@@ -105,7 +105,7 @@
     abort_handles: IndexMap<ReadId, AbortHandle>,
     idle_clients: Vec<HttpClient>,
     /// Whether the next read is a full one, as the registry could not tell the changes.
-    restart: bool,
+    full_next: bool,
 }
 
 /// Reads the registry until the process ends.
@@ -114,7 +114,7 @@
         running: JoinSet::new(),
         abort_handles: IndexMap::new(),
         idle_clients: Vec::new(),
-        restart: false,
+        full_next: false,
     };
     loop {
         let (standing, pace) = (standing(&state), pace(&state));
@@ -125,10 +125,10 @@
             continue;
         }
         tokio::select! {
-            ended = reads.running.join_next(), if !reads.running.is_empty() => {
+            finished = reads.running.join_next(), if !reads.running.is_empty() => {
                 // An aborted read has no result.
-                if let Some(Ok(ended)) = ended {
-                    reads.end(&state, ended, &reader);
+                if let Some(Ok(finished)) = finished {
+                    reads.end(&state, finished, &reader);
                 }
             }
             () = sleep(duration(due.since(at))) => {}
@@ -158,7 +158,7 @@
         let sent = now();
         // A router without a configuration reads everything: that is one call, unless the registry is large.
         let has_configuration = state.gateway.borrow().catalog().is_some();
-        let incremental = has_configuration && !self.restart;
+        let incremental = has_configuration && !self.full_next;
         let held = incremental.then(|| state.mirror.borrow().revision());
         let read = (reader.begin)(held);
         let http_client = self
@@ -177,7 +177,7 @@
             sent,
             answer_timeout: duration(ReadScheduler::answer_timeout(pace)),
             calls: 0,
-            restart: false,
+            full_next: false,
         };
         drop(reading);
         let handle = self
@@ -186,14 +186,14 @@
         self.abort_handles.insert(number, handle);
     }
 
-    fn end(&mut self, state: &Shared, ended: FinishedRead, reader: &RegistryReader) {
-        self.abort_handles.swap_remove(&ended.number);
-        let took = now().since(ended.sent);
+    fn end(&mut self, state: &Shared, finished: FinishedRead, reader: &RegistryReader) {
+        self.abort_handles.swap_remove(&finished.number);
+        let took = now().since(finished.sent);
         let standing = standing(state);
-        let calls = ended.calls;
+        let calls = finished.calls;
         let by = standing.role();
-        self.restart = ended.restart;
-        match ended.result {
+        self.full_next = finished.full_next;
+        match finished.result {
             Ok(delta) => {
                 let failures = state.reading.borrow().failures();
                 if failures >= FAILURES_UNTIL_LOST {
@@ -211,15 +211,15 @@
                 state.reads.set(true);
                 state.metrics.count("registry", "read");
                 state.metrics.time("read", "registry", took);
-                feed::apply(state, ended.sent, delta, Mirror::apply, reader);
-                let superseded = state.reading.borrow_mut().whole(ended.number);
+                feed::apply(state, finished.sent, delta, Mirror::apply, reader);
+                let superseded = state.reading.borrow_mut().whole(finished.number);
                 for number in superseded {
                     if let Some(handle) = self.abort_handles.swap_remove(&number) {
                         state.metrics.count("registry", "given up");
                         handle.abort();
                     }
                 }
-                self.idle_clients.extend(ended.http_client);
+                self.idle_clients.extend(finished.http_client);
                 self.idle_clients.truncate(MAX_KEPT_CONNECTIONS);
             }
             Err(error) => {
@@ -229,7 +229,7 @@
                 state.metrics.count("registry", "failed");
                 let draw = state.gateway.borrow_mut().draw();
                 let mut reading = state.reading.borrow_mut();
-                let failures = reading.failed(now(), ended.number, &standing, draw);
+                let failures = reading.failed(now(), finished.number, &standing, draw);
                 if failures == FAILURES_UNTIL_LOST {
                     state.reads.set(false);
                     tracing::warn!(event = 651, %by, calls, took = took.0, %error, "registry lost");
@@ -246,7 +246,7 @@
     sent: Time,
     answer_timeout: Duration,
     calls: u32,
-    restart: bool,
+    full_next: bool,
 }
 
 impl RunningRead {
@@ -263,7 +263,7 @@
             sent: self.sent,
             calls: self.calls,
             http_client: result.is_ok().then_some(http_client),
-            restart: self.restart && result.is_err(),
+            full_next: self.full_next && result.is_err(),
             result,
         }
     }
@@ -288,14 +288,14 @@
             let body = match called {
                 Err(error) if watches && watch_unserved(&error) => {
                     watches = false;
-                    read = (read.restart)();
+                    read = (read.full_read)();
                     path = read.path.clone();
                     continue;
                 }
                 called => called?,
             };
             // If processing this answer fails, its changes can't be requested again, so the next read is a full one.
-            self.restart = true;
+            self.full_next = true;
             match (read.on_body)(&body).map_err(|why| Error::Body { why })? {
                 RegistryStep::More(next) => {
                     watches = false;
--- a/crates/gatewayd/src/main.rs
+++ b/crates/gatewayd/src/main.rs
@@ -1,7 +1,8 @@
 //! `toucanturn-gatewayd` is a router of the fleet on the users' platform.
 //!
-//! It reads the settings file that the platform names in an environment variable, and serves until SIGTERM. It is
-//! separate from `toucanturnd` and lacks that daemon's own interface to save memory, which is needed on every VM.
+//! It reads the settings file that the platform names in an environment variable, and serves until SIGTERM. It is a
+//! binary separate from `toucanturnd` and without that one's interface, as every page of its memory is paid for on
+//! each VM.
 
 #![forbid(unsafe_code)]
 
