--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -68,7 +68,7 @@
 const KEEP_ALIVE_VALUE: &str = "timeout=3";
 const KEEP_ALIVE_HEADER: HeaderName = HeaderName::from_static("keep-alive");
 
-/// `BodyAborted` ends the body of an answer to a caller that can't be completed.
+/// `BodyAborted` ends the body of an answer that can't be completed.
 #[derive(Debug, Snafu)]
 #[snafu(display("the endpoint's answer ended early and could not be resumed"))]
 pub struct BodyAborted;
@@ -201,7 +201,8 @@
     }
 }
 
-/// Builds the answer to a refused request and logs the refusal.
+/// Builds the answer to a refused request and logs the refusal. The answer says when to retry, if the refusal
+/// allows that.
 pub(crate) fn refuse(
     state: &Shared,
     id: &Bytes,
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -72,8 +72,8 @@
 /// `ApplyDelta` applies a delta to the local copy and returns the records that it changes.
 pub(crate) type ApplyDelta = fn(&mut Mirror, Delta) -> Vec<Record>;
 
-/// Applies a delta that led to the newest state at the time `read`. A delta older than the local copy is ignored, and
-/// proves nothing about the copy's age.
+/// Applies a delta whose result was the newest state of the registry at the time `read`. A delta older than the local
+/// copy is ignored, and proves nothing about the copy's age.
 pub(crate) fn apply(
     state: &Shared,
     read: Time,
--- a/crates/gateway/src/peer_follower.rs
+++ b/crates/gateway/src/peer_follower.rs
@@ -184,7 +184,7 @@
             let mut reading = state.reading.borrow_mut();
             reading.peer_answered();
             reading.peer_withheld_update();
-            state.peer_withheld_update.notify_one();
+            state.wake_reads.notify_one();
             return PollOutcome::TooLarge;
         }
         Some(StatusCode::SERVICE_UNAVAILABLE) => {
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -205,8 +205,8 @@
         "started"
     );
     let reader = Rc::new(reader);
-    spawn_local(server::checks(state.clone(), checks));
-    spawn_local(server::callers(state.clone(), callers));
+    spawn_local(server::serve_checks(state.clone(), checks));
+    spawn_local(server::serve_callers(state.clone(), callers));
     spawn_local(peers::serve(state.clone(), peers));
     spawn_local(gossip::run(state.clone(), socket));
     spawn_local(reads::run(state.clone(), Rc::clone(&reader)));
--- a/crates/gateway/src/reads.rs
+++ b/crates/gateway/src/reads.rs
@@ -132,7 +132,7 @@
                 }
             }
             () = sleep(duration(due.since(at))) => {}
-            () = state.peer_withheld_update.notified() => {}
+            () = state.wake_reads.notified() => {}
         }
     }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -55,10 +55,11 @@
 
 /// `Piece` is what [`Relay::next_piece`] returns.
 enum Piece {
+    /// A complete event, or the remaining bytes of an answer that no other endpoint has resumed.
     Bytes(Bytes),
     /// The endpoint's answer is complete.
     End,
-    /// The connection broke, or the answer ended within an event.
+    /// The connection broke, or a resumed answer ended within an event.
     Broken,
     /// The endpoint sent nothing for too long, or an event that exceeds the length limit.
     Stalled,
@@ -130,13 +131,13 @@
     fn respond(self, mut head: http::response::Parts, first: Option<Bytes>) -> Response<Body> {
         // Another endpoint may resume the stream, and the first one's length does not include its part.
         head.headers.remove(header::CONTENT_LENGTH);
-        let whole = self.attempt.is_none();
+        let complete = self.attempt.is_none();
         let response = self
             .proxied
             .caller_response(&head, Either::Left(Full::default()));
         let start = futures_util::stream::iter(first.map(|b| Ok(Frame::data(b))));
         let remaining = unfold(Some(self), |relay| async move { step(relay?).await });
-        let body = if whole {
+        let body = if complete {
             start.boxed_local()
         } else {
             start.chain(remaining).boxed_local()
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -72,11 +72,11 @@
 }
 
 /// Serves callers until the process ends.
-pub async fn callers(state: Shared, listener: TcpListener) {
+pub async fn serve_callers(state: Shared, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                spawn_local(caller(state.clone(), stream));
+                spawn_local(serve_caller(state.clone(), stream));
             }
             Err(error) => {
                 state.metrics.count("accepts", "failed");
@@ -87,7 +87,7 @@
     }
 }
 
-async fn caller(state: Shared, stream: TcpStream) {
+async fn serve_caller(state: Shared, stream: TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
         tracing::debug!(%error, "can't set TCP_NODELAY, connection closed");
         return;
@@ -141,8 +141,8 @@
 }
 
 /// Serves readiness checks and metrics until the process ends.
-pub async fn checks(state: Shared, listener: TcpListener) {
-    serve(state, listener, check).await;
+pub async fn serve_checks(state: Shared, listener: TcpListener) {
+    serve(state, listener, answer_check).await;
 }
 
 /// Answers the requests to a listener until the process ends. They come from the load balancer and peers, and are
@@ -173,7 +173,7 @@
     }
 }
 
-async fn check(
+async fn answer_check(
     state: Shared,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -107,7 +107,7 @@
     /// Schedule of reads of the registry.
     pub reading: RefCell<ReadScheduler>,
     /// Wakes the reads when a peer has something newer that is too large to send.
-    pub peer_withheld_update: Notify,
+    pub wake_reads: Notify,
     /// The changes last packed for a peer.
     pub cached_pack: RefCell<Option<CachedPack>>,
     /// Whether the local copy was last updated by an own read rather than by a peer.
@@ -146,7 +146,7 @@
             changes: watch::Sender::new(RegistryState::default()),
             registry,
             reading: RefCell::default(),
-            peer_withheld_update: Notify::new(),
+            wake_reads: Notify::new(),
             cached_pack: RefCell::default(),
             reads: Cell::new(false),
             first_read_until: Cell::new(now() + FIRST_READ_TIMEOUT),
