--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -25,12 +25,12 @@
 };
 use toucanturn_platform_standin::{
     caller::{
-        Ask,
         Caller,
+        RequestSpec,
         ready, //
     },
     clock_ms,
-    replica::FATAL,
+    replica::FATAL_REQUEST_MARKER,
 };
 
 use crate::{
@@ -136,7 +136,11 @@
     let mut rng = StdRng::seed_from_u64(step.at);
     let kinds: Vec<Kind> = Kind::iter().collect();
     let kind = kinds[step.variant % kinds.len()];
-    let item = format!("{}-{}", FATAL.trim_start_matches('/'), step.at);
+    let item = format!(
+        "{}-{}",
+        FATAL_REQUEST_MARKER.trim_start_matches('/'),
+        step.at
+    );
     let began = Instant::now();
     let mut count = 0;
     while began.elapsed() < FATAL_TIME && !shared.over.get() {
@@ -172,7 +176,7 @@
     (id, item): (&str, &str),
 ) -> Call {
     let name = key_name(key);
-    let ask = Ask {
+    let ask = RequestSpec {
         kind: kind.into(),
         id,
         key: &name,
@@ -182,11 +186,11 @@
     let sent = clock_ms();
     let answered = async {
         caller.write(&ask.text("")).await.ok()?;
-        Some(caller.told().await)
+        Some(caller.response().await)
     };
-    let told = timeout(PATIENCE, answered).await;
-    let gave_up = told.is_err();
-    let told = told.ok().flatten().unwrap_or_default();
+    let response = timeout(PATIENCE, answered).await;
+    let gave_up = response.is_err();
+    let response = response.ok().flatten().unwrap_or_default();
     Call {
         kind,
         key,
@@ -194,9 +198,9 @@
         life,
         sent,
         ended: clock_ms(),
-        status: told.status,
-        whole: told.whole,
-        body: told.body,
+        status: response.status,
+        whole: response.whole,
+        body: response.body,
         gave_up,
         id: id.to_owned(),
         item: item.to_owned(),
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -29,14 +29,14 @@
     clock_ms, control,
     document::{
         self,
-        Entry,
-        Shape, //
+        ConfigSpec, //
+        EntrySpec,
     },
     replica::{
-        Act,
-        Note,
-        Order as Told,
-        What, //
+        Behavior,
+        ControlCommand as Told,
+        RequestEvent,
+        RequestEventKind, //
     },
     store,
 };
@@ -94,7 +94,7 @@
 /// Milliseconds that an endpoint works on a request.
 const WORK_MS: u64 = 30;
 /// What an endpoint does with a request.
-pub const USUAL: Act = Act::Serve { ms: WORK_MS };
+pub const USUAL: Behavior = Behavior::Serve { ms: WORK_MS };
 
 /// `Router` is a router behind its link to the store.
 pub struct Router {
@@ -239,7 +239,8 @@
             (replica.id.clone(), replica.link.clone(), replica.life + 1)
         };
         let key = document::entry_key(&old);
-        self.tell_store(&store::Order::Remove { key }).await?;
+        self.tell_store(&store::ControlCommand::Remove { key })
+            .await?;
         let next = start_replica(n, life, link, &self.record).await?;
         *self.replicas[n].borrow_mut() = next;
         self.enter_cold(n).await
@@ -253,7 +254,7 @@
     pub async fn enter(&self, n: usize, state: &str, cold_ms: u64) -> Result<()> {
         let (key, value) = {
             let replica = self.replicas[n].borrow();
-            let entry = Entry {
+            let entry = EntrySpec {
                 address: v4(replica.link.address),
                 state,
                 data_center: data_center(n),
@@ -261,7 +262,8 @@
             };
             (document::entry_key(&replica.id), entry.text())
         };
-        self.tell_store(&store::Order::Put { key, value }).await
+        self.tell_store(&store::ControlCommand::Put { key, value })
+            .await
     }
 
     /// Publishes that an endpoint has become cold.
@@ -318,7 +320,8 @@
         };
         let key = document::evacuation_key(data_center);
         let value = "{}".to_owned();
-        self.tell_store(&store::Order::Put { key, value }).await?;
+        self.tell_store(&store::ControlCommand::Put { key, value })
+            .await?;
         self.record.borrow_mut().evacuations[place].from = clock_ms();
         Ok(true)
     }
@@ -336,7 +339,8 @@
             }
         }
         let key = document::evacuation_key(data_center);
-        self.tell_store(&store::Order::Remove { key }).await
+        self.tell_store(&store::ControlCommand::Remove { key })
+            .await
     }
 
     /// Publishes a configuration, whose good keys `choose` picks by number from those that are good;
@@ -352,16 +356,17 @@
         let good = choose(self.good_keys());
         let names: Vec<String> = good.iter().map(|n| key_name(*n)).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
-        let shape = Shape {
+        let shape = ConfigSpec {
             version: *version,
             keys: &names,
             timeout_ms: ROUTE_MS,
             idle_ms: 5000,
         };
         let value = document::config(&shape);
-        let key = document::CONFIG.to_owned();
+        let key = document::CONFIG_KEY.to_owned();
         let before = clock_ms();
-        self.tell_store(&store::Order::Put { key, value }).await?;
+        self.tell_store(&store::ControlCommand::Put { key, value })
+            .await?;
         self.note_keys(&good, before);
         Ok(())
     }
@@ -411,7 +416,7 @@
     /// # Errors
     ///
     /// It does not obey.
-    pub async fn tell_store(&self, order: &store::Order) -> Result<()> {
+    pub async fn tell_store(&self, order: &store::ControlCommand) -> Result<()> {
         let name = "the store";
         ensure!(
             control::order(self.store_control, order).await,
@@ -465,9 +470,9 @@
     spawn_local(async move {
         while let Ok(Some(line)) = lines.next_line().await {
             // A line that was cut by a kill is no word.
-            if let Ok(note) = serde_json::from_str::<Note>(&line) {
+            if let Ok(note) = serde_json::from_str::<RequestEvent>(&line) {
                 let mut record = record.borrow_mut();
-                if note.what == What::Crashed {
+                if note.what == RequestEventKind::Crashed {
                     let (from, to) = (note.at_ms, note.at_ms + ROUTE_MS);
                     let target = Target::Replica(n);
                     record.spans.push(Span { target, from, to });
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -6,10 +6,10 @@
 use toucanturn_platform_standin::{
     document::COLD_PER_S,
     replica::{
-        EVENTS,
-        FATAL,
-        Note,
-        What, //
+        FATAL_REQUEST_MARKER,
+        RequestEvent,
+        RequestEventKind, //
+        STREAM_EVENTS,
     },
 };
 
@@ -94,7 +94,7 @@
 }
 
 /// Runs of each request, in the order of their beginnings.
-type Runs<'a> = HashMap<&'a str, Vec<&'a Note>>;
+type Runs<'a> = HashMap<&'a str, Vec<&'a RequestEvent>>;
 
 /// Judges a run.
 pub fn judge(record: &Record) -> Vec<Finding> {
@@ -131,9 +131,11 @@
     record.calls.iter().filter_map(judge).collect()
 }
 
-fn began<'a>(runs: &'a Runs<'_>, id: &str) -> impl Iterator<Item = &'a Note> {
+fn began<'a>(runs: &'a Runs<'_>, id: &str) -> impl Iterator<Item = &'a RequestEvent> {
     let notes = runs.get(id).into_iter().flatten();
-    notes.copied().filter(|note| note.what == What::Began)
+    notes
+        .copied()
+        .filter(|note| note.what == RequestEventKind::Began)
 }
 
 fn once(call: &Call, runs: &Runs<'_>) -> Option<String> {
@@ -172,7 +174,7 @@
 /// Gets the whole stream of a request.
 fn events(id: &str) -> String {
     let event = |n| format!("id: {n}\ndata: piece {n} of {id}\n\n");
-    (1..=EVENTS).map(event).collect()
+    (1..=STREAM_EVENTS).map(event).collect()
 }
 
 /// Tells whether all events are of one request and count up from 1 without a gap.
@@ -257,8 +259,8 @@
     let mut found = Vec::new();
     for leaving in &record.leaving {
         let end = leaving.at + LEAVING_MS + SLACK;
-        let late = |note: &&Note| {
-            let new = note.replica == leaving.replica && note.what == What::Began;
+        let late = |note: &&RequestEvent| {
+            let new = note.replica == leaving.replica && note.what == RequestEventKind::Began;
             new && note.at_ms > end && !excused(record, note, leaving.at)
         };
         let late = record.notes.iter().filter(late);
@@ -274,7 +276,7 @@
 }
 
 /// Tells whether a fault kept the router of a run from hearing what was published at `at`.
-fn excused(record: &Record, note: &Note, at: u64) -> bool {
+fn excused(record: &Record, note: &RequestEvent, at: u64) -> bool {
     let call = record.calls.iter().find(|call| call.id == note.id);
     let router = call.map(|call| call.router);
     record.faulty(at, note.at_ms, |target| target.blinds(router))
@@ -286,7 +288,7 @@
     for notes in runs.values() {
         let arrivals = notes
             .iter()
-            .filter(|n| matches!(n.what, What::Began | What::Rejected));
+            .filter(|n| matches!(n.what, RequestEventKind::Began | RequestEventKind::Rejected));
         repeats.extend(arrivals.skip(1).map(|note| note.at_ms));
     }
     repeats.sort_unstable();
@@ -319,7 +321,7 @@
     for (item, calls) in items {
         let notes = |call: &&Call| runs.get(call.id.as_str()).into_iter().flatten();
         let ended = calls.iter().flat_map(notes);
-        let ended = ended.filter(|note| note.what == What::Crashed);
+        let ended = ended.filter(|note| note.what == RequestEventKind::Crashed);
         let mut ended: Vec<u64> = ended.map(|note| note.at_ms).collect();
         ended.sort_unstable();
         let Some(third) = ended.get(ENDED - 1) else {
@@ -347,7 +349,7 @@
 
 /// Tells whether a call ends endpoints.
 fn fatal(call: &Call) -> bool {
-    format!("/{}", call.item).starts_with(FATAL)
+    format!("/{}", call.item).starts_with(FATAL_REQUEST_MARKER)
 }
 
 fn innocent(record: &Record, call: &Call) -> Option<String> {
@@ -361,7 +363,8 @@
     let cut = record.faulty(from, call.ended, |t| own.contains(&t));
     // Where no endpoint answers anything, nobody would have served it.
     let near = call.sent.saturating_sub(SLACK)..call.ended + SLACK;
-    let answers = |note: &Note| note.what == What::Ended && near.contains(&note.at_ms);
+    let answers =
+        |note: &RequestEvent| note.what == RequestEventKind::Ended && near.contains(&note.at_ms);
     let served = record.notes.iter().any(answers);
     (!cut && served).then(|| format!("{} ({}) was held back", call.id, call.item))
 }
@@ -376,9 +379,9 @@
     for evacuation in &record.evacuations {
         let end = evacuation.from.saturating_add(EVACUATION_MS + SLACK);
         let during = end..evacuation.to.unwrap_or(u64::MAX);
-        let late = |note: &&Note| {
+        let late = |note: &&RequestEvent| {
             let place = number(&note.replica).map(data_center);
-            note.what == What::Began
+            note.what == RequestEventKind::Began
                 && during.contains(&note.at_ms)
                 && place == Some(&evacuation.data_center)
         };
@@ -395,9 +398,9 @@
 fn warmup(record: &Record) -> Vec<String> {
     let most = COLD_PER_S * WARMUP_PERCENT / 100 + WARMUP_SLACK;
     let crowd = |cold: &Cold| {
-        let own = |note: &&Note| {
+        let own = |note: &&RequestEvent| {
             note.replica == cold.replica
-                && note.what == What::Began
+                && note.what == RequestEventKind::Began
                 && (cold.from..cold.to).contains(&note.at_ms)
         };
         let mut times: Vec<u64> = record.notes.iter().filter(own).map(|n| n.at_ms).collect();
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -2,7 +2,7 @@
 //! share.
 
 use serde::Serialize;
-use toucanturn_platform_standin::replica::Note;
+use toucanturn_platform_standin::replica::RequestEvent;
 
 /// `Kind` is a route of the published configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, strum::EnumIter, strum::IntoStaticStr)]
@@ -147,7 +147,7 @@
     /// Requests, in the order of their ends.
     pub calls: Vec<Call>,
     /// What endpoints saw, in the order of their words.
-    pub notes: Vec<Note>,
+    pub notes: Vec<RequestEvent>,
     /// Keys by number.
     pub keys: Vec<Key>,
     /// Faults.
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -27,11 +27,11 @@
     clock_ms,
     replica::{
         self,
-        Act, //
+        Behavior, //
     },
     store::{
+        ControlCommand, //
         Mode as Answers,
-        Order, //
     },
 };
 use toucanturn_standin::link::{
@@ -203,11 +203,11 @@
         }
         Fault::ReplicaMisbehaves => {
             let from = clock_ms();
-            let order = replica::Order::Next(odd_acts(step.variant));
+            let order = replica::ControlCommand::Next(odd_acts(step.variant));
             fleet.tell_replica(n, &order).await;
             sleep(lasts).await;
             // One that gets no requests meanwhile would do it after the fault.
-            fleet.tell_replica(n, &replica::Order::Clear).await;
+            fleet.tell_replica(n, &replica::ControlCommand::Clear).await;
             fleet.note_span(Target::Replica(n), from, AFTER);
         }
         Fault::ReplicaSlow | Fault::AnswersLost | Fault::ReplicaReset | Fault::ReplicaSilent => {
@@ -225,7 +225,7 @@
             link_fault(&link, step.fault, lasts).await;
             fleet.note_span(Target::Link(router), from, AFTER);
         }
-        Fault::StoreCompacts => fleet.tell_store(&Order::Compact).await?,
+        Fault::StoreCompacts => fleet.tell_store(&ControlCommand::Compact).await?,
         Fault::StoreBusy | Fault::StoreSlow | Fault::StorePaused => {
             let from = clock_ms();
             store_fault(fleet, step.fault, lasts).await?;
@@ -235,17 +235,21 @@
         Fault::KeyRevoked => fleet.revoke().await?,
         Fault::RevokedUnseen => {
             let from = clock_ms();
-            fleet.tell_store(&Order::Mode(Answers::Busy)).await?;
+            fleet
+                .tell_store(&ControlCommand::Mode(Answers::Busy))
+                .await?;
             fleet.revoke().await?;
             sleep(Duration::from_millis(REVOKE_MS + AFTER)).await;
-            fleet.tell_store(&Order::Mode(Answers::Sound)).await?;
+            fleet
+                .tell_store(&ControlCommand::Mode(Answers::Sound))
+                .await?;
             fleet.note_span(Target::Store, from, AFTER);
         }
         Fault::AllFail => {
             let from = clock_ms();
-            let usual = |act| replica::Order::Usual(act);
+            let usual = |act| replica::ControlCommand::Usual(act);
             for n in 0..fleet.size.replicas {
-                fleet.tell_replica(n, &usual(Act::Fail)).await;
+                fleet.tell_replica(n, &usual(Behavior::Fail)).await;
             }
             sleep(FAILING + lasts).await;
             for n in 0..fleet.size.replicas {
@@ -421,26 +425,28 @@
         Fault::StoreBusy => Answers::Busy,
         _ => Answers::Slow(400),
     };
-    fleet.tell_store(&Order::Mode(mode)).await?;
+    fleet.tell_store(&ControlCommand::Mode(mode)).await?;
     sleep(lasts).await;
-    fleet.tell_store(&Order::Mode(Answers::Sound)).await
+    fleet
+        .tell_store(&ControlCommand::Mode(Answers::Sound))
+        .await
 }
 
 /// Gets acts that break the protocol: up to all kinds, each once.
-fn odd_acts(variant: usize) -> Vec<Act> {
+fn odd_acts(variant: usize) -> Vec<Behavior> {
     let acts = [
-        Act::OtherId,
-        Act::Unsealed,
-        Act::Encoded,
-        Act::Reject,
-        Act::Fail,
-        Act::Truncate,
-        Act::Extra,
-        Act::Unframed,
-        Act::Close,
-        Act::Hang,
-        Act::Torn { to: 3 },
-        Act::Stuck { to: 3 },
+        Behavior::OtherId,
+        Behavior::Unsealed,
+        Behavior::Encoded,
+        Behavior::Reject,
+        Behavior::Fail,
+        Behavior::Truncate,
+        Behavior::Extra,
+        Behavior::Unframed,
+        Behavior::Close,
+        Behavior::Hang,
+        Behavior::Torn { to: 3 },
+        Behavior::Stuck { to: 3 },
     ];
     let count = 1 + variant % acts.len();
     let other = |n: usize| acts[(variant + n * STRIDE) % acts.len()].clone();
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -2,9 +2,9 @@
 
 use googletest::prelude::*;
 use toucanturn_platform_standin::replica::{
-    EVENTS,
-    Note,
-    What, //
+    RequestEvent,
+    RequestEventKind, //
+    STREAM_EVENTS,
 };
 use toucanturn_soak::{
     judge::{
@@ -27,7 +27,7 @@
 fn call(id: &str, kind: Kind) -> Call {
     let event = |n| format!("id: {n}\ndata: piece {n} of {id}\n\n");
     let body = match kind.streams() {
-        true => (1..=EVENTS).map(event).collect(),
+        true => (1..=STREAM_EVENTS).map(event).collect(),
         false => format!("done {id}"),
     };
     Call {
@@ -46,17 +46,17 @@
     }
 }
 
-fn note(id: &str, at_ms: u64) -> Note {
-    Note {
+fn note(id: &str, at_ms: u64) -> RequestEvent {
+    RequestEvent {
         at_ms,
         replica: "i-0-0".to_owned(),
         id: id.to_owned(),
         after: None,
-        what: What::Began,
+        what: RequestEventKind::Began,
     }
 }
 
-fn record(calls: Vec<Call>, notes: Vec<Note>) -> Record {
+fn record(calls: Vec<Call>, notes: Vec<RequestEvent>) -> Record {
     let keys = vec![
         Key {
             since: 0,
@@ -281,9 +281,9 @@
     };
     let note_of = |(n, id): (u64, &String)| {
         let begun = note(id, 10_010 + n * 1000);
-        let ended = Note {
+        let ended = RequestEvent {
             at_ms: 10_040 + n * 1000,
-            what: What::Crashed,
+            what: RequestEventKind::Crashed,
             ..begun.clone()
         };
         [begun, ended]
@@ -308,8 +308,8 @@
         body: "quarantined\n".to_owned(),
         ..call("a1", Kind::Read)
     };
-    let answered = Note {
-        what: What::Ended,
+    let answered = RequestEvent {
+        what: RequestEventKind::Ended,
         ..note("b2", 10_020)
     };
     let record_of = |item, notes| record(vec![held(item)], notes);
@@ -330,7 +330,7 @@
         to: Some(10_500),
     };
     let run = |replica: &str, at_ms| {
-        let begun = Note {
+        let begun = RequestEvent {
             replica: replica.to_owned(),
             ..note("a", at_ms)
         };
