--- a/crates/core/src/gateway/attempt.rs
+++ b/crates/core/src/gateway/attempt.rs
@@ -258,10 +258,10 @@
 
     /// Tells whether and why a ticket is held back.
     pub fn verdict(&self, now: Time, ticket: &Ticket) -> Option<Verdict> {
-        let fared = |life, since| self.registry.fared(life, since);
+        let liveness_since = |life, since| self.registry.liveness_since(life, since);
         let content = ticket.content?;
         self.quarantine
-            .verdict(now, content, self.bounds.hold, fared)
+            .verdict(now, content, self.bounds.hold, liveness_since)
     }
 
     /// Tells whether an endpoint may get a request now. Asked right before it is sent: a connection may
@@ -269,8 +269,9 @@
     pub fn may_send(&self, now: Time, endpoint: EndpointKey) -> bool {
         let endpoint = self.registry.get(endpoint);
         self.proof.covers_evacuations(now, &self.bounds)
-            && endpoint
-                .is_some_and(|e| e.usable() && e.stays(now, self.proof.read(), self.bounds.staying))
+            && endpoint.is_some_and(|e| {
+                e.usable() && e.recently_confirmed(now, self.proof.read(), self.bounds.staying)
+            })
     }
 
     /// Tells whether a request may go where it was placed: the endpoint may have become cold since, and then gets only
@@ -298,8 +299,8 @@
     }
 
     /// Notes the load that an endpoint states of itself.
-    pub fn stated(&mut self, now: Time, endpoint: EndpointKey, load: endpoint::Load) {
-        self.registry.stated(now, endpoint, load);
+    pub fn record_load(&mut self, now: Time, endpoint: EndpointKey, load: endpoint::Load) {
+        self.registry.record_load(now, endpoint, load);
     }
 
     /// Gets how long an endpoint may say nothing before another one is asked, `begun` once it has
--- a/crates/core/src/gateway/endpoint.rs
+++ b/crates/core/src/gateway/endpoint.rs
@@ -1,4 +1,5 @@
-//! One life of an endpoint: what its entry says, and what its answers have shown.
+//! One instance of an endpoint: its registry entry, and the load, failures and latency seen in its
+//! answers.
 
 use std::{
     collections::VecDeque,
@@ -23,218 +24,229 @@
     },
 };
 
-/// First pause after an endpoint could not be reached; doubles with each further failure.
-const PAUSE: Millis = Millis(400);
-/// Longest pause between attempts to reach an endpoint again.
-const PAUSE_MAX: Millis = Millis(3200);
-/// Broken or stalled answers in a row after which an endpoint is paused.
-const BROKEN_IN_A_ROW: u32 = 2;
-/// Age at which a stated load says nothing any more: many requests have come and gone since.
-const LOAD_STALE: Millis = Millis(2000);
-/// Time within which a router hears of a load that an endpoint stated to another one, or its own
-/// newest request is answered: until then silence says nothing.
-const HEARD: Millis = Millis(200);
-/// Time in which the requests of other routers halve at an endpoint from which nothing more is heard.
-/// Nobody has begun any there, or its load would have been stated, so they only end. Kept as they
-/// were, the loads of engines that are passed over would raise the mean, and with it the load that
-/// others might carry: over the multiple.
-const OTHERS_HALF_LIFE: Millis = Millis(300);
-/// Own requests whose times are kept, to correct loads that peers know.
-const MAX_SENT: usize = 32;
-/// Time after which an endpoint is taken to hold the parts that it gets: those in use return within
-/// seconds.
-const YOUNG: Millis = Millis(10_000);
-/// Weight of the newest answer in the share of failures: about the last eight count.
-const FAILURE_WEIGHT: f32 = 0.125;
-/// Time in which the share of failures halves without answers. An endpoint that is left out gives
-/// none: with no such time, it would idle long after it is sound again while the others are overloaded.
-const FAILURE_HALF_LIFE: Millis = Millis(1000);
-
-/// Weight of the newest answer in the time that one takes: about the last three count. A queue fills and empties
-/// within a few answers of its endpoint, of which a router sees few.
-const PACE_WEIGHT: f32 = 0.3;
-/// Time in which the time that an answer takes halves without answers, so that an endpoint that was
-/// slow is tried again.
-const PACE_HALF_LIFE: Millis = Millis(2000);
-/// Time that a rejection counts as: the caller waits before it comes back, then as any other.
-const REJECTED: Millis = Millis(600);
-
-/// Least time that a failed answer counts as: another attempt must follow, if one may. Counted by its
-/// own time, an endpoint that fails at once would get several times its part.
-const FAILED: Millis = Millis(300);
-/// Time that a broken answer counts as: what may not run again is lost with it.
-const BROKEN: Millis = Millis(1500);
-
-/// `Entry` is what the registry says of an endpoint.
+/// First pause after a failed connection to an endpoint; doubles with each further failure.
+const MIN_PAUSE: Millis = Millis(400);
+/// Longest pause between connection attempts to an unreachable endpoint.
+const MAX_PAUSE: Millis = Millis(3200);
+/// Consecutive broken or stalled answers after which an endpoint is paused.
+const PAUSE_AFTER_BROKEN: u32 = 2;
+/// Age from which a reported load is ignored, because many requests have started and ended since.
+const LOAD_REPORT_TTL: Millis = Millis(2000);
+/// Time within which a router learns of a load that an endpoint reported to another router, or gets
+/// the answer to its own newest request. Until then, the absence of reports carries no information.
+const LOAD_REPORT_DELAY: Millis = Millis(200);
+/// Time in which the estimated number of other routers' requests halves at an endpoint without new
+/// load reports. No router has started a request there, or a new load would have been reported, so
+/// these requests only end. Without the decay, the stale loads of endpoints that get no requests
+/// would raise the mean load and with it the limit of the other endpoints, which would then exceed
+/// the allowed multiple of the mean.
+const OTHER_LOAD_HALF_LIFE: Millis = Millis(300);
+/// Own requests whose send times are kept, to correct the loads that peers report.
+const MAX_SEND_TIMES: usize = 32;
+/// Time after which an endpoint is assumed to have cached the prompt parts that are routed to it.
+/// Parts in use recur within seconds.
+const CACHE_FILL_TIME: Millis = Millis(10_000);
+/// Weight of the newest answer in the failure rate; about the last eight answers count.
+const FAILURE_RATE_WEIGHT: f32 = 0.125;
+/// Time in which the failure rate halves without answers. An endpoint that gets no requests gives
+/// no answers, so without the decay it would stay idle long after its recovery while the other
+/// endpoints are overloaded.
+const FAILURE_RATE_HALF_LIFE: Millis = Millis(1000);
+
+/// Weight of the newest answer in the latency; about the last three answers count. A queue fills
+/// and empties within a few answers of its endpoint, and one router sees only a few of them.
+const LATENCY_WEIGHT: f32 = 0.3;
+/// Time in which the latency halves without answers, so that an endpoint that was slow is tried
+/// again.
+const LATENCY_HALF_LIFE: Millis = Millis(2000);
+/// Latency that a rejected request counts as: the caller waits before it retries, and the retry
+/// then takes as long as any other request.
+const REJECTED_LATENCY: Millis = Millis(600);
+
+/// Least latency that a failed answer counts as, because it may cost another attempt. With its real
+/// latency, an endpoint that fails at once would get several times its share of the requests.
+const MIN_FAILED_LATENCY: Millis = Millis(300);
+/// Latency that a broken answer counts as. It is high because requests that must not run twice are
+/// lost.
+const BROKEN_LATENCY: Millis = Millis(1500);
+
+/// `Entry` is an endpoint's entry in the registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Name; a restart may have the same.
+    /// Name. A restarted endpoint may keep its name.
     pub id: Bytes,
-    /// When this life began; `None` where entries don't say, and each name is one life.
+    /// When this instance started; `None` where entries don't say, so that each name counts as one
+    /// instance.
     pub born: Option<Wall>,
-    /// Name of its service.
+    /// Name of the service that it serves.
     pub service: Bytes,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddrV4,
     /// Data centre where it runs.
     pub data_center: Bytes,
-    /// Requests that it runs at once; zero where none is published.
+    /// Requests that it runs concurrently; zero if none is published.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether it is shutting down and takes no new requests.
     pub leaving: bool,
-    /// How much longer it is slow after its start.
+    /// How much longer it is slow after its start, as of when the entry was written.
     pub cold: Millis,
 }
 
-/// `State` says whether an endpoint may get work.
+/// `State` says whether an endpoint may get new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum State {
-    /// It may.
+    /// It may get new requests.
     Ready,
-    /// It finishes what it has.
+    /// It is shutting down: it finishes the requests that it has and gets no new ones.
     Leaving,
-    /// Its entry lapsed while the registry was away; it may, until that is decided.
+    /// Its entry disappeared while the registry was unavailable. It may get new requests until a
+    /// grace period ends.
     Lapsed {
-        /// When the registry came back.
+        /// When the registry became available again.
         returned: Time,
     },
-    /// It has left.
+    /// It has left the registry, or another instance answers at its address.
     Gone,
 }
 
-/// `Load` is what an endpoint states of itself.
+/// `Load` is the load that an endpoint reports about itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that are queued.
     pub waiting: u32,
-    /// Requests that it can run at once.
+    /// Requests that it can run concurrently.
     pub slots: u32,
 }
 
 impl Load {
-    /// Counts its requests, running and waiting.
+    /// Counts the running and queued requests.
     pub const fn requests(self) -> u32 {
         self.running.saturating_add(self.waiting)
     }
 }
 
-/// `Fared` is what became of an endpoint since a connection to it broke.
+/// `Liveness` says whether an endpoint is still alive after a connection to it broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fared {
-    /// It has answered since.
-    Lives,
-    /// It could not be reached since, or is not listed any more.
-    Ended,
-    /// Nothing is known.
-    Unheard,
+pub enum Liveness {
+    /// It has answered a request that was sent after the break.
+    Alive,
+    /// It could not be reached since, or is no longer listed.
+    Dead,
+    /// No evidence either way.
+    Unknown,
 }
 
-/// `Endpoint` is one life of an endpoint. Nothing of it holds for the next one of the same name: that
-/// has no load, holds no part of a prompt, and answers for no attempt that was sent before.
+/// `Endpoint` is one instance of an endpoint. A later instance of the same name starts without any
+/// of this state: it has no load, has cached no prompt part, and answers no attempt that was sent
+/// to an earlier instance.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// What the registry says.
+    /// Its registry entry.
     pub entry: Entry,
-    /// Whether it may get work.
+    /// Whether it may get new requests.
     pub state: State,
-    /// Since when its data centre is known to be evacuated.
+    /// When this router learnt that its data centre is being evacuated; `None` if it is not.
     pub evacuated: Option<Time>,
-    /// Until when it is cold by its entry.
-    cold_by_entry: Time,
-    /// Until when it may be cold though its entry doesn't say so yet.
-    cold_by_doubt: Time,
-    /// Hash of its name, for rendezvous.
+    /// Until when it is cold by its registry entry.
+    cold_until: Time,
+    /// Until when it may be cold although its registry entry doesn't say so yet.
+    maybe_cold_until: Time,
+    /// Hash of its name, for rendezvous hashing.
     pub seed: u64,
-    /// When it came; `None` if it was there before this router.
+    /// When it joined; `None` if it was listed before this router started.
     since: Option<Time>,
-    /// Own requests in progress there.
-    pub own: u32,
-    stated: Option<Stated>,
-    /// Time as of which its answer to this router last confirmed that it is not leaving.
+    /// Requests of this router in progress there.
+    pub own_in_flight: u32,
+    load_report: Option<LoadReport>,
+    /// Send time of the newest request whose answer confirmed to this router that the endpoint is
+    /// not leaving.
     confirmed: Option<Time>,
-    /// The same of an answer to another router.
+    /// The same for a request of another router.
     confirmed_by_peer: Option<Time>,
-    failures: u32,
+    consecutive_failures: u32,
     paused: Option<Time>,
     /// When it last could not be reached.
     unreached: Option<Time>,
-    /// Share of failures at a time.
-    failing: (Time, f32),
-    /// Time that an answer took, in milliseconds, at a time.
-    pace: Option<(Time, f32)>,
-    /// When the newest own requests went out.
+    /// Failure rate, and when it was last updated.
+    failure_rate: (Time, f32),
+    /// Latency of answers in milliseconds, and when it was last updated.
+    latency: Option<(Time, f32)>,
+    /// Send times of this router's newest requests.
     sent: VecDeque<Time>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Stated {
+struct LoadReport {
     at: Time,
     load: Load,
-    /// Own requests in progress then.
-    own: u32,
+    /// This router's requests in progress there at that time.
+    own_in_flight: u32,
 }
 
 impl Endpoint {
-    /// Makes an endpoint from its first entry.
+    /// Makes an endpoint from its first entry; `since` is when it joined, if that is known.
     pub fn new(since: Option<Time>, entry: Entry) -> Self {
-        let state = state_of(&entry);
+        let state = initial_state(&entry);
         let seed = xxhash_rust::xxh3::xxh3_64(&entry.id);
         Self {
             entry,
             state,
             evacuated: None,
-            cold_by_entry: Time(0),
-            cold_by_doubt: Time(0),
+            cold_until: Time(0),
+            maybe_cold_until: Time(0),
             seed,
             since,
-            own: 0,
-            stated: None,
+            own_in_flight: 0,
+            load_report: None,
             confirmed: None,
             confirmed_by_peer: None,
-            failures: 0,
+            consecutive_failures: 0,
             paused: None,
             unreached: None,
-            failing: (Time(0), 0.0),
-            pace: None,
+            failure_rate: (Time(0), 0.0),
+            latency: None,
             sent: VecDeque::new(),
         }
     }
 
-    /// Follows a new entry of this life; returns whether the state changed. A life that leaves never
-    /// comes back: a restart is another one.
-    pub fn follow(&mut self, entry: Entry) -> bool {
+    /// Replaces the entry by a newer one of the same instance; returns whether the state changed.
+    /// An instance that is leaving never becomes ready again, because a restart makes a new
+    /// instance.
+    pub fn update_entry(&mut self, entry: Entry) -> bool {
         let before = self.state;
         self.state = match before {
             State::Leaving | State::Gone => before,
-            _ => state_of(&entry),
+            _ => initial_state(&entry),
         };
         self.entry = entry;
         before != self.state
     }
 
-    /// Tells whether it came so lately that it can't hold much yet.
-    pub fn young(&self, now: Time) -> bool {
-        self.since.is_some_and(|since| now.since(since) < YOUNG)
+    /// Tells whether it joined so recently that it has cached few prompt parts.
+    pub fn recently_joined(&self, now: Time) -> bool {
+        self.since
+            .is_some_and(|since| now.since(since) < CACHE_FILL_TIME)
     }
 
-    /// Notes that an entry of this life came, which says how much longer it is cold.
+    /// Takes the time for which it stays cold from its current entry, which was received at `now`.
     ///
-    /// That was counted from when the entry was written, so the endpoint is warm no later than this says.
-    pub fn listed(&mut self, now: Time) {
-        self.cold_by_entry = now + self.entry.cold;
+    /// The entry counted that time from when it was written, so the endpoint is warm at the result
+    /// at the latest.
+    pub fn update_cold_until(&mut self, now: Time) {
+        self.cold_until = now + self.entry.cold;
     }
 
-    /// Notes that it may have become cold, and be so for `time`.
+    /// Notes that it may have become cold, for `time` from now on.
     pub fn doubt(&mut self, now: Time, time: Millis) {
-        self.cold_by_doubt = self.cold_by_doubt.max(now + time);
+        self.maybe_cold_until = self.maybe_cold_until.max(now + time);
     }
 
-    /// Gets how much longer it is taken to be cold.
+    /// Gets how much longer it counts as cold.
     pub fn cold(&self, now: Time) -> Millis {
-        self.cold_by_entry.max(self.cold_by_doubt).since(now)
+        self.cold_until.max(self.maybe_cold_until).since(now)
     }
 
     /// Tells whether it may get new requests.
@@ -242,64 +254,69 @@
         self.stays_listed() && self.evacuated.is_none()
     }
 
-    /// Tells whether it neither leaves nor has left.
+    /// Tells whether it is neither leaving nor gone.
     pub fn stays_listed(&self) -> bool {
         matches!(self.state, State::Ready | State::Lapsed { .. })
     }
 
-    /// Notes that it was not leaving at `at`, when a request was sent whose answer doesn't say so.
+    /// Notes that its answer to a request of this router, sent at `at`, did not say that it is
+    /// leaving.
     pub fn confirm(&mut self, at: Time) {
         self.confirmed = self.confirmed.max(Some(at));
     }
 
-    /// Notes the same of another router's request.
+    /// Notes the same for a request of another router.
     pub fn confirm_by_peer(&mut self, at: Time) {
         self.confirmed_by_peer = self.confirmed_by_peer.max(Some(at));
     }
 
-    /// Tells whether it was not leaving less than `bound` ago; `read` is when the registry last listed it.
+    /// Tells whether it was confirmed less than `bound` ago that it is not leaving; `read` is the
+    /// send time of the newest registry read.
     ///
-    /// Judged by the longer bound of keys, endpoints would get requests after the time in which leaving is promised.
-    /// Judged by the registry alone, each of its outages would end all service at this bound;
-    /// answers of the endpoints themselves are evidence that costs nothing.
-    pub fn stays(&self, now: Time, read: Option<Time>, bound: Millis) -> bool {
+    /// The bound for API keys is longer: with it, endpoints would get requests after the time
+    /// within which routers promise to notice that an endpoint leaves. With registry reads as the
+    /// only evidence, each registry outage longer than the bound would stop all traffic. The
+    /// endpoints' own answers confirm the same at no extra cost.
+    pub fn recently_confirmed(&self, now: Time, read: Option<Time>, bound: Millis) -> bool {
         let newest = read.max(self.confirmed).max(self.confirmed_by_peer);
         newest.is_some_and(|at| now.since(at) < bound)
     }
 
-    /// Tells how it fared since a connection to it broke.
+    /// Tells whether it has been alive since a connection to it broke at `since`.
     ///
-    /// A request that was sent later and answered shows that it lives, whoever sent it.
-    pub fn fared(&self, since: Time) -> Fared {
+    /// An answer to any router's request that was sent later shows that it is alive.
+    pub fn liveness_since(&self, since: Time) -> Liveness {
         let answered = self.confirmed.max(self.confirmed_by_peer);
         if answered.is_some_and(|at| at > since) {
-            Fared::Lives
+            Liveness::Alive
         } else if self.unreached.is_some_and(|at| at >= since) {
-            Fared::Ended
+            Liveness::Dead
         } else {
-            Fared::Unheard
+            Liveness::Unknown
         }
     }
 
-    /// Tells whether it is left out for a while, as it could not be reached or broke off.
+    /// Tells whether it currently gets no requests because it could not be reached or its answers
+    /// broke off.
     pub fn paused(&self, now: Time) -> bool {
         self.paused.is_some_and(|until| now < until)
     }
 
-    /// Gets the share of its newest answers that were failures, 0 to 1.
-    pub fn failing(&self, now: Time) -> f32 {
-        let (at, share) = self.failing;
-        share * left(now.since(at), FAILURE_HALF_LIFE)
+    /// Gets the recent failure rate of its answers, from 0 to 1.
+    pub fn failure_rate(&self, now: Time) -> f32 {
+        let (at, share) = self.failure_rate;
+        share * remaining_fraction(now.since(at), FAILURE_RATE_HALF_LIFE)
     }
 
-    /// Gets the milliseconds that its newest answers took; 0 where nothing is known.
-    pub fn pace(&self, now: Time) -> f32 {
-        let (at, pace) = self.pace.unwrap_or((now, 0.0));
-        pace * left(now.since(at), PACE_HALF_LIFE)
+    /// Gets the recent latency of its answers in milliseconds; 0 if there were none.
+    pub fn latency(&self, now: Time) -> f32 {
+        let (at, latency) = self.latency.unwrap_or((now, 0.0));
+        latency * remaining_fraction(now.since(at), LATENCY_HALF_LIFE)
     }
 
-    /// Estimates its requests in progress from all routers: the own ones as they are, and those that
-    /// others had when a load was last stated, less what has probably ended since.
+    /// Estimates the requests that it has in progress from all routers: this router's own, plus
+    /// those of other routers at the last load report, less the ones that have probably ended
+    /// since.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_precision_loss,
@@ -307,24 +324,33 @@
         reason = "loads are small numbers, and the cast saturates"
     )]
     pub fn load(&self, now: Time) -> u32 {
-        let fresh = self.stated.filter(|s| now.since(s.at) < LOAD_STALE);
-        let Some(stated) = fresh else {
-            return self.own;
+        let fresh = self
+            .load_report
+            .filter(|s| now.since(s.at) < LOAD_REPORT_TTL);
+        let Some(load_report) = fresh else {
+            return self.own_in_flight;
         };
-        let others = stated.load.requests().saturating_sub(stated.own);
-        let silent = Millis(now.since(stated.at).0.saturating_sub(HEARD.0));
-        let others = others as f32 * left(silent, OTHERS_HALF_LIFE);
-        self.own.saturating_add(others.round() as u32)
+        let others = load_report
+            .load
+            .requests()
+            .saturating_sub(load_report.own_in_flight);
+        let silent = Millis(
+            now.since(load_report.at)
+                .0
+                .saturating_sub(LOAD_REPORT_DELAY.0),
+        );
+        let others = others as f32 * remaining_fraction(silent, OTHER_LOAD_HALF_LIFE);
+        self.own_in_flight.saturating_add(others.round() as u32)
     }
 
-    /// Gets the age of the load that it stated last; `None` where nothing is known.
+    /// Gets the age of its last load report; `None` if there is none or it is too old to use.
     pub fn age(&self, now: Time) -> Option<Millis> {
-        let age = self.stated.map(|s| now.since(s.at));
-        age.filter(|age| *age < LOAD_STALE)
+        let age = self.load_report.map(|s| now.since(s.at));
+        age.filter(|age| *age < LOAD_REPORT_TTL)
     }
 
-    /// Gets the tag that stands for this life between routers: what one knows of the life before must
-    /// not be taken for news of this one.
+    /// Gets the tag that identifies this instance between routers. It differs from that of an
+    /// earlier instance, so that what a peer knows of that one is not applied to this one.
     pub fn tag(&self) -> Tag {
         match self.entry.born {
             Some(born) => Tag::of(&[self.entry.id.as_ref(), &born.0.to_le_bytes()].concat()),
@@ -332,21 +358,22 @@
         }
     }
 
-    /// Gets its newest stated load, for peers; where it states none, that it is not leaving.
+    /// Gets what this router tells its peers: the last reported load, or without one only that the
+    /// endpoint is not leaving.
     pub fn report(&self, now: Time) -> Option<EndpointReport> {
         let endpoint = self.tag().0;
-        if let (Some(age), Some(stated)) = (self.age(now), self.stated) {
-            let recent = |at| at + mesh::MAX_CONFIRMED_LATENCY >= stated.at;
+        if let (Some(age), Some(load_report)) = (self.age(now), self.load_report) {
+            let recent = |at| at + mesh::MAX_CONFIRMED_LATENCY >= load_report.at;
             let confirmed = self.confirmed.is_some_and(recent);
             return Some(EndpointReport {
                 endpoint,
                 age,
-                load: Some(stated.load.requests()),
+                load: Some(load_report.load.requests()),
                 confirmed,
             });
         }
         let age = now.since(self.confirmed?);
-        (age < LOAD_STALE).then_some(EndpointReport {
+        (age < LOAD_REPORT_TTL).then_some(EndpointReport {
             endpoint,
             age,
             load: None,
@@ -354,14 +381,14 @@
         })
     }
 
-    /// Notes a load that a peer knows, if it is newer than what is known here. Own requests that
-    /// were sent since it was stated are not in it.
-    pub fn seen(&mut self, now: Time, report: EndpointReport) {
+    /// Takes over a load that a peer knows of if it is newer than the one known here. Own requests
+    /// that were sent after that report are not part of it.
+    pub fn record_peer_report(&mut self, now: Time, report: EndpointReport) {
         let at = now - report.age;
         let Some(load) = report.load else {
             return;
         };
-        if self.stated.is_some_and(|s| s.at >= at) {
+        if self.load_report.is_some_and(|s| s.at >= at) {
             return;
         }
         let recent = self.sent.iter().filter(|t| **t > at).count();
@@ -371,92 +398,96 @@
             waiting: 0,
             slots: self.entry.slots,
         };
-        let own = self.own.saturating_sub(recent);
-        self.stated = Some(Stated { at, load, own });
+        let own_in_flight = self.own_in_flight.saturating_sub(recent);
+        self.load_report = Some(LoadReport {
+            at,
+            load,
+            own_in_flight,
+        });
     }
 
-    /// Notes that a request goes out.
+    /// Notes that a request is sent to it.
     pub fn sent(&mut self, now: Time) {
         self.sent.push_back(now);
-        if self.sent.len() > MAX_SENT {
+        if self.sent.len() > MAX_SEND_TIMES {
             self.sent.pop_front();
         }
-        self.own = self.own.saturating_add(1);
+        self.own_in_flight = self.own_in_flight.saturating_add(1);
     }
 
-    /// Notes the load that it states.
-    pub fn state_load(&mut self, now: Time, load: Load) {
-        self.stated = Some(Stated {
+    /// Notes the load that it reports in an answer.
+    pub fn record_load(&mut self, now: Time, load: Load) {
+        self.load_report = Some(LoadReport {
             at: now,
             load,
-            own: self.own,
+            own_in_flight: self.own_in_flight,
         });
     }
 
-    /// Notes how an attempt ended, and what time it took.
+    /// Notes how an attempt ended, and how long it took.
     pub fn ended(&mut self, now: Time, fate: Fate, took: Millis) {
-        self.own = self.own.saturating_sub(1);
+        self.own_in_flight = self.own_in_flight.saturating_sub(1);
         match fate {
             Fate::Answered => {
-                self.failures = 0;
+                self.consecutive_failures = 0;
                 self.paused = None;
-                self.took(now, took);
-                self.judge(now, 0.0);
+                self.update_latency(now, took);
+                self.update_failure_rate(now, 0.0);
             }
             Fate::Failed => {
-                self.took(now, took.max(FAILED));
-                self.judge(now, 1.0);
+                self.update_latency(now, took.max(MIN_FAILED_LATENCY));
+                self.update_failure_rate(now, 1.0);
             }
             Fate::Broken | Fate::Stalled => {
-                self.took(now, BROKEN);
-                self.judge(now, 1.0);
-                self.failures += 1;
-                if self.failures >= BROKEN_IN_A_ROW {
-                    self.pause(now, self.failures - BROKEN_IN_A_ROW);
+                self.update_latency(now, BROKEN_LATENCY);
+                self.update_failure_rate(now, 1.0);
+                self.consecutive_failures += 1;
+                if self.consecutive_failures >= PAUSE_AFTER_BROKEN {
+                    self.pause(now, self.consecutive_failures - PAUSE_AFTER_BROKEN);
                 }
             }
-            Fate::Rejected => self.took(now, REJECTED),
+            Fate::Rejected => self.update_latency(now, REJECTED_LATENCY),
             Fate::Misdirected => self.state = State::Gone,
             Fate::NotSent | Fate::Left => {}
         }
     }
 
-    /// Notes that it could not be reached.
+    /// Notes that no connection to it could be made.
     pub fn unreached(&mut self, now: Time) {
         self.unreached = Some(now);
-        self.pause(now, self.failures);
-        self.failures += 1;
+        self.pause(now, self.consecutive_failures);
+        self.consecutive_failures += 1;
     }
 
-    /// Counts an answer, 1 for a failure.
-    fn judge(&mut self, now: Time, failure: f32) {
-        let share = self.failing(now);
-        self.failing = (now, share + (failure - share) * FAILURE_WEIGHT);
+    /// Updates the failure rate with one answer: 1 for a failure, 0 for a success.
+    fn update_failure_rate(&mut self, now: Time, failure: f32) {
+        let share = self.failure_rate(now);
+        self.failure_rate = (now, share + (failure - share) * FAILURE_RATE_WEIGHT);
     }
 
     #[expect(
         clippy::cast_precision_loss,
         reason = "milliseconds of an answer are few"
     )]
-    fn took(&mut self, now: Time, took: Millis) {
+    fn update_latency(&mut self, now: Time, took: Millis) {
         let took = took.0 as f32;
-        let before = self.pace.map_or(took, |_| self.pace(now));
-        self.pace = Some((now, before + (took - before) * PACE_WEIGHT));
+        let before = self.latency.map_or(took, |_| self.latency(now));
+        self.latency = Some((now, before + (took - before) * LATENCY_WEIGHT));
     }
 
     fn pause(&mut self, now: Time, doublings: u32) {
-        let pause = PAUSE.0 << doublings.min(8);
-        self.paused = Some(now + Millis(pause.min(PAUSE_MAX.0)));
+        let pause = MIN_PAUSE.0 << doublings.min(8);
+        self.paused = Some(now + Millis(pause.min(MAX_PAUSE.0)));
     }
 }
 
-/// Gets the part that is left after a time of what halves in `half_life`.
+/// Gets the fraction that remains after a time of something that halves each `half_life`.
 #[expect(clippy::cast_precision_loss, reason = "halves of a second are enough")]
-fn left(after: Millis, half_life: Millis) -> f32 {
+fn remaining_fraction(after: Millis, half_life: Millis) -> f32 {
     (-(after.0 as f32) / half_life.0 as f32).exp2()
 }
 
-fn state_of(entry: &Entry) -> State {
+fn initial_state(entry: &Entry) -> State {
     if entry.leaving {
         State::Leaving
     } else {
--- a/crates/core/src/gateway/knowledge.rs
+++ b/crates/core/src/gateway/knowledge.rs
@@ -145,8 +145,9 @@
         self.ticked = now;
         let mut news = Vec::new();
         self.registry.expire(now, self.bounds.lapse, &mut news);
-        let fared = |life, since| self.registry.fared(life, since);
-        self.quarantine.expire(now, self.bounds.hold, fared);
+        let liveness_since = |life, since| self.registry.liveness_since(life, since);
+        self.quarantine
+            .expire(now, self.bounds.hold, liveness_since);
         news
     }
 
@@ -187,11 +188,11 @@
     /// Their ages count from the sending, so what waited in a socket while this process was suspended looks
     /// new. An old load does little harm; a confirmation is passed over until all that waited is read, or
     /// the endpoint might have left as long ago as the suspension was long.
-    pub fn seen(&mut self, now: Time, reports: &[mesh::EndpointReport]) {
+    pub fn record_peer_report(&mut self, now: Time, reports: &[mesh::EndpointReport]) {
         let runs = now.since(self.ticked) < PAUSE;
         let timely = runs && now.since(self.woke) >= SETTLE;
         for report in reports {
-            self.registry.seen(now, *report, timely);
+            self.registry.record_peer_report(now, *report, timely);
         }
     }
 
--- a/crates/core/src/gateway/place.rs
+++ b/crates/core/src/gateway/place.rs
@@ -94,7 +94,7 @@
 impl PlacementContext<'_> {
     fn is_confirmed(&self, endpoint: &Endpoint) -> bool {
         self.proof.covers_evacuations(self.now, self.bounds)
-            && endpoint.stays(self.now, self.proof.read(), self.bounds.staying)
+            && endpoint.recently_confirmed(self.now, self.proof.read(), self.bounds.staying)
     }
 
     fn cold(&self, endpoint: &Endpoint) -> bool {
@@ -140,8 +140,9 @@
     let untried = |k: &EndpointKey| !tried(ticket, *k);
     let mut candidates: Vec<(EndpointKey, &Endpoint)> = Vec::with_capacity(all.len());
     candidates.extend(
-        all.iter()
-            .filter(|(k, e)| untried(k) && context.is_confirmed(e) && e.own < context.share),
+        all.iter().filter(|(k, e)| {
+            untried(k) && context.is_confirmed(e) && e.own_in_flight < context.share
+        }),
     );
     let candidates = exclude_unadmitted_cold(context, ticket, candidates);
     let unpaused: Vec<_> = candidates
@@ -217,10 +218,10 @@
     fn of(context: &PlacementContext<'_>, all: &[(EndpointKey, &Endpoint)]) -> Self {
         let count = all.len().max(1) as f32;
         let load: u32 = all.iter().map(|(_, e)| e.load(context.now)).sum();
-        let failing: f32 = all.iter().map(|(_, e)| e.failing(context.now)).sum();
+        let failure_rate: f32 = all.iter().map(|(_, e)| e.failure_rate(context.now)).sum();
         Self {
             load: load as f32 / count,
-            failure_rate: failing / count,
+            failure_rate: failure_rate / count,
         }
     }
 }
@@ -240,7 +241,7 @@
 
 #[expect(clippy::cast_precision_loss, reason = "loads are small numbers")]
 fn cost(context: &PlacementContext<'_>, endpoint: &Endpoint, mean: ServiceMean) -> f32 {
-    let above = endpoint.failing(context.now) - mean.failure_rate - FAILURE_TOLERANCE;
+    let above = endpoint.failure_rate(context.now) - mean.failure_rate - FAILURE_TOLERANCE;
     endpoint.load(context.now) as f32 + above.max(0.0) * FAILURE_LOAD
 }
 
@@ -256,7 +257,10 @@
 ) -> Option<EndpointKey> {
     let known = context.registry.known(&ticket.service);
     let settled = known.filter(|(k, e)| {
-        *k != chosen && !e.young(context.now) && !e.paused(context.now) && context.allows_fetch(e)
+        *k != chosen
+            && !e.recently_joined(context.now)
+            && !e.paused(context.now)
+            && context.allows_fetch(e)
     });
     let first = settled.max_by_key(|(_, e)| score(part_id, e.seed));
     first.map(|(key, _)| key)
@@ -326,8 +330,8 @@
 /// Estimates the time until an endpoint answers.
 #[expect(clippy::cast_precision_loss, reason = "loads are small numbers")]
 fn expected_answer_time(context: &PlacementContext<'_>, endpoint: &Endpoint) -> f32 {
-    let failure_factor = 1.0 + endpoint.failing(context.now) * FAILURE_TIME_FACTOR;
-    (endpoint.pace(context.now) + 1.0) * (endpoint.own as f32 + 1.0) * failure_factor
+    let failure_factor = 1.0 + endpoint.failure_rate(context.now) * FAILURE_TIME_FACTOR;
+    (endpoint.latency(context.now) + 1.0) * (endpoint.own_in_flight as f32 + 1.0) * failure_factor
 }
 
 /// Finds the endpoint with the least cost, a random one among equals.
--- a/crates/core/src/gateway/quarantine.rs
+++ b/crates/core/src/gateway/quarantine.rs
@@ -21,7 +21,7 @@
 
 use crate::{
     gateway::{
-        endpoint::Fared,
+        endpoint::Liveness,
         fingerprint::Fingerprint, //
     },
     ids::Tag,
@@ -255,28 +255,30 @@
         }
     }
 
-    /// Tells whether a request is quarantined; `fared` tells whether an endpoint has answered or
+    /// Tells whether a request is quarantined; `liveness_since` tells whether an endpoint has answered or
     /// ended since a time.
     pub fn verdict(
         &self,
         now: Time,
         request: Fingerprint,
         policy: Policy,
-        fared: impl Fn(Tag, Time) -> Fared,
+        liveness_since: impl Fn(Tag, Time) -> Liveness,
     ) -> Option<Verdict> {
         let suspect = self.suspects.get(&request)?;
         let threshold = suspect.threshold(now);
-        let proven = suspect.counting_crashes(|crash| match fared(crash.endpoint, crash.at) {
-            Fared::Lives => false,
-            Fared::Ended => true,
-            Fared::Unheard => now.since(crash.at) >= PRESUMED_ENDED_AFTER,
-        });
+        let proven =
+            suspect.counting_crashes(|crash| match liveness_since(crash.endpoint, crash.at) {
+                Liveness::Alive => false,
+                Liveness::Dead => true,
+                Liveness::Unknown => now.since(crash.at) >= PRESUMED_ENDED_AFTER,
+            });
         if proven.len() < threshold || policy.first == Millis(0) {
             return None;
         }
         // Once a request is quarantined, a further crash counts without waiting for proof that the
         // endpoint ended.
-        let crashes = suspect.counting_crashes(|c| fared(c.endpoint, c.at) != Fared::Lives);
+        let crashes =
+            suspect.counting_crashes(|c| liveness_since(c.endpoint, c.at) != Liveness::Alive);
         let hold = policy.hold(&crashes, threshold);
         let last = crashes.last()?.at;
         let last_trial = suspect.last_trial.filter(|at| *at >= last);
@@ -306,13 +308,18 @@
     }
 
     /// Drops old records and false crashes: those of endpoints that have answered since, and those
-    /// of endpoints that had ended before the request was sent; `fared` tells whether an endpoint
+    /// of endpoints that had ended before the request was sent; `liveness_since` tells whether an endpoint
     /// has answered or ended since a time.
     ///
     /// False crashes are dropped at once, because once these endpoints have left nothing proves any
     /// more that they went on.
-    pub fn expire(&mut self, now: Time, policy: Policy, fared: impl Fn(Tag, Time) -> Fared) {
-        let ended = |c: &Crash| fared(c.endpoint, c.at) != Fared::Lives;
+    pub fn expire(
+        &mut self,
+        now: Time,
+        policy: Policy,
+        liveness_since: impl Fn(Tag, Time) -> Liveness,
+    ) {
+        let ended = |c: &Crash| liveness_since(c.endpoint, c.at) != Liveness::Alive;
         for suspect in self.suspects.values_mut() {
             suspect.crashes.retain(ended);
         }
--- a/crates/core/src/gateway/registry.rs
+++ b/crates/core/src/gateway/registry.rs
@@ -13,7 +13,7 @@
         endpoint::{
             Endpoint,
             Entry,
-            Fared,
+            Liveness,
             Load,
             State, //
         },
@@ -109,10 +109,10 @@
         {
             let moved = endpoint.entry.service != entry.service;
             endpoint.evacuated = self.evacuated.get(&entry.data_center).copied();
-            if endpoint.follow(entry) {
+            if endpoint.update_entry(entry) {
                 news.push(state_news(endpoint));
             }
-            endpoint.listed(now);
+            endpoint.update_cold_until(now);
             if moved {
                 self.rebuild_indexes();
             }
@@ -120,7 +120,7 @@
         }
         let mut endpoint = Endpoint::new(since, entry);
         endpoint.evacuated = self.evacuated.get(&endpoint.entry.data_center).copied();
-        endpoint.listed(now);
+        endpoint.update_cold_until(now);
         news.push(state_news(&endpoint));
         let id = endpoint.entry.id.clone();
         let service = endpoint.entry.service.clone();
@@ -267,9 +267,9 @@
     }
 
     /// Records the load that an endpoint states.
-    pub fn stated(&mut self, now: Time, key: EndpointKey, load: Load) {
+    pub fn record_load(&mut self, now: Time, key: EndpointKey, load: Load) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.state_load(now, load);
+            endpoint.record_load(now, load);
         }
     }
 
@@ -302,8 +302,9 @@
 
     /// Tells whether an incarnation of an endpoint has answered or ended since a connection to it
     /// broke.
-    pub fn fared(&self, life: Tag, since: Time) -> Fared {
-        self.life(life).map_or(Fared::Ended, |e| e.fared(since))
+    pub fn liveness_since(&self, life: Tag, since: Time) -> Liveness {
+        self.life(life)
+            .map_or(Liveness::Dead, |e| e.liveness_since(since))
     }
 
     /// Returns the endpoint of a listed incarnation.
@@ -331,10 +332,10 @@
 
     /// Applies a peer's report of an endpoint. Its confirmation counts only if `timely`: not where
     /// the message may have waited here for long.
-    pub fn seen(&mut self, now: Time, report: EndpointReport, timely: bool) {
+    pub fn record_peer_report(&mut self, now: Time, report: EndpointReport, timely: bool) {
         let key = self.by_tag.get(&Tag(report.endpoint));
         if let Some(endpoint) = key.and_then(|k| self.endpoints.get_mut(*k)) {
-            endpoint.seen(now, report);
+            endpoint.record_peer_report(now, report);
             if let Some(age) = report.confirmation_age().filter(|_| timely) {
                 endpoint.confirm_by_peer(now - age);
             }
--- a/crates/core/tests/gateway/endpoint.rs
+++ b/crates/core/tests/gateway/endpoint.rs
@@ -41,7 +41,7 @@
 fn verify_a_reported_load_is_adjusted_by_own_requests() {
     let mut endpoint = Endpoint::new(None, entry(1));
     endpoint.sent(Time(0));
-    endpoint.state_load(Time(10), load(5));
+    endpoint.record_load(Time(10), load(5));
     endpoint.sent(Time(20));
     expect_that!(endpoint.load(Time(30)), eq(6));
     endpoint.ended(Time(40), Fate::Answered, Millis(20));
@@ -54,7 +54,7 @@
 fn verify_a_reported_load_decays_and_expires() {
     let mut endpoint = Endpoint::new(None, entry(1));
     endpoint.sent(Time(0));
-    endpoint.state_load(Time(0), load(51));
+    endpoint.record_load(Time(0), load(51));
     expect_that!(endpoint.load(Time(200)), eq(51));
     expect_that!(endpoint.load(Time(500)), eq(1 + 25));
     expect_that!(endpoint.load(Time(800)), eq(1 + 13));
@@ -71,17 +71,17 @@
 #[gtest]
 fn verify_a_peer_s_load_counts_if_it_is_newer() {
     let mut endpoint = Endpoint::new(None, entry(1));
-    endpoint.state_load(Time(1000), load(5));
+    endpoint.record_load(Time(1000), load(5));
     let report = |load, age| EndpointReport {
         endpoint: 0,
         load: Some(load),
         age: Millis(age),
         confirmed: false,
     };
-    endpoint.seen(Time(1150), report(9, 250));
+    endpoint.record_peer_report(Time(1150), report(9, 250));
     expect_that!(endpoint.load(Time(1150)), eq(5));
     endpoint.sent(Time(1100));
-    endpoint.seen(Time(1150), report(9, 100));
+    endpoint.record_peer_report(Time(1150), report(9, 100));
     expect_that!(endpoint.load(Time(1150)), eq(10));
 }
 
@@ -117,7 +117,7 @@
     endpoint.sent(Time(0));
     endpoint.ended(Time(10), Fate::Misdirected, Millis(20));
     expect_that!(endpoint.state, eq(State::Gone));
-    endpoint.follow(entry(1));
+    endpoint.update_entry(entry(1));
     expect_false!(endpoint.usable());
 }
 
@@ -158,31 +158,31 @@
     #[test]
     fn verify_invariants_over_random_event_sequences(steps in proptest::collection::vec(any_step(), 1..80)) {
         let mut endpoint = Endpoint::new(None, entry(1));
-        let mut own = 0_u32;
+        let mut own_in_flight = 0_u32;
         let mut left = false;
         let mut now = Time(0);
         for step in steps {
             now = now + Millis(100);
             match step {
-                Step::Ready => { endpoint.follow(entry(1)); }
+                Step::Ready => { endpoint.update_entry(entry(1)); }
                 Step::Leaving => {
                     let mut leaving = entry(1);
                     leaving.leaving = true;
-                    endpoint.follow(leaving);
+                    endpoint.update_entry(leaving);
                     left = true;
                 }
-                Step::Sent => { endpoint.sent(now); own += 1; }
-                Step::Ended(outcome) if own > 0 => {
+                Step::Sent => { endpoint.sent(now); own_in_flight += 1; }
+                Step::Ended(outcome) if own_in_flight > 0 => {
                     endpoint.ended(now, outcome, Millis(20));
-                    own -= 1;
+                    own_in_flight -= 1;
                     left |= outcome == Fate::Misdirected;
                 }
                 Step::Ended(_) => {}
                 Step::Unreached => endpoint.unreached(now),
-                Step::Stated(n) => endpoint.state_load(now, load(n)),
+                Step::Stated(n) => endpoint.record_load(now, load(n)),
             }
-            prop_assert_eq!(endpoint.own, own);
-            prop_assert!(endpoint.load(now) >= own);
+            prop_assert_eq!(endpoint.own_in_flight, own_in_flight);
+            prop_assert!(endpoint.load(now) >= own_in_flight);
             prop_assert!(!(left && endpoint.usable()));
             prop_assert!(!endpoint.paused(now + Millis(3200)));
         }
--- a/crates/core/tests/gateway/lives.rs
+++ b/crates/core/tests/gateway/lives.rs
@@ -104,19 +104,19 @@
         waiting: 9,
         slots: 64,
     };
-    gateway.stated(Time(6), key, load);
+    gateway.record_load(Time(6), key, load);
     let (reports, _) = gateway.observed(Time(7), 1);
     apply_entry(&mut gateway, 8, entry_started_at(number, 200));
     expect_that!(gateway.registry().get(key).is_none(), eq(true));
     // A report about the old incarnation, from a router that has not heard of the restart.
-    gateway.seen(Time(9), &reports);
+    gateway.record_peer_report(Time(9), &reports);
     let mut all = gateway.registry().of(b"engines");
     let (new_key, endpoint) = all
         .find(|(_, e)| e.entry.id == id)
         .expect("the endpoint is listed");
     expect_that!(new_key, not(eq(key)));
     expect_that!(endpoint.load(Time(9)), eq(0));
-    expect_true!(endpoint.young(Time(9)));
+    expect_true!(endpoint.recently_joined(Time(9)));
 }
 
 /// A request that was sent to the old incarnation may have run, and a rejection by the new one does
--- a/crates/core/tests/gateway/place.rs
+++ b/crates/core/tests/gateway/place.rs
@@ -24,9 +24,9 @@
     request, //
 };
 
-fn chat_request(shared: u64, own: u64) -> Ask {
+fn chat_request(shared: u64, own_in_flight: u64) -> Ask {
     Ask {
-        prompt: Some(prompt(shared, own)),
+        prompt: Some(prompt(shared, own_in_flight)),
         ..request("/chat/x")
     }
 }
@@ -107,7 +107,7 @@
         waiting: 3,
         slots: 64,
     };
-    gateway.stated(Time(10), first, load);
+    gateway.record_load(Time(10), first, load);
     expect_that!(
         place_request(&mut gateway, &chat_request(7, 2)),
         not(eq(first))
@@ -243,10 +243,10 @@
             waiting: 0,
             slots: 64,
         };
-        gateway.stated(Time(10), preferred, load(60));
+        gateway.record_load(Time(10), preferred, load(60));
         let other = place_request(&mut gateway, &request);
         expect_that!(other, not(eq(preferred)));
-        gateway.stated(Time(10), preferred, load(0));
+        gateway.record_load(Time(10), preferred, load(0));
         let ticket = admit_request(&mut gateway, &request);
         let placed = gateway
             .place(Time(10), &ticket, &request)
@@ -277,8 +277,8 @@
     expect_false!(refusal.may_have_run);
     // However many routers there are, each may use a few connections.
     gateway.fleet(Time(0), 1000);
-    let own = gateway.registry().usable().map(|(_, e)| e.own);
-    expect_that!(own.max(), some(eq(10)));
+    let own_in_flight = gateway.registry().usable().map(|(_, e)| e.own_in_flight);
+    expect_that!(own_in_flight.max(), some(eq(10)));
 }
 
 /// Guards against overloaded endpoints after a cold start, when 3.2 % of the requests reached endpoints over
@@ -295,7 +295,7 @@
         };
         let keys: Vec<EndpointKey> = gateway.registry().usable().map(|(k, _)| k).collect();
         for key in keys {
-            gateway.stated(Time(10), key, load(6));
+            gateway.record_load(Time(10), key, load(6));
         }
         let request = chat_request(7, 2);
         let ticket = admit_request(&mut gateway, &request);
--- a/crates/core/tests/gateway/quarantine.rs
+++ b/crates/core/tests/gateway/quarantine.rs
@@ -204,7 +204,7 @@
         let mut other = admit_request(&mut gateway, after, "b");
         gateway.sent(after, &mut other, placed.endpoint);
         gateway.confirm(&other, placed.endpoint);
-        gateway.stated(after, placed.endpoint, Load::default());
+        gateway.record_load(after, placed.endpoint, Load::default());
         gateway.ended(after, &mut other, placed.endpoint, Fate::Answered);
         gateway.tick(after);
         expect_false!(is_quarantined(&mut gateway, now + Millis(900), "a"));
@@ -425,7 +425,7 @@
 fn verify_records_are_limited_per_workspace() {
     let mut table = Quarantine::default();
     let record_key = |workspace, content| Fingerprint { workspace, content };
-    let always_ended = |_, _| toucanturn_core::gateway::endpoint::Fared::Ended;
+    let always_ended = |_, _| toucanturn_core::gateway::endpoint::Liveness::Dead;
     let policy = bounds().hold;
     let kept = record_key(1, 7);
     for n in 0..3 {
--- a/crates/core/tests/gateway/skew.rs
+++ b/crates/core/tests/gateway/skew.rs
@@ -116,7 +116,7 @@
                         waiting: 0,
                         slots: 64,
                     };
-                    self.routers[index].stated(Time(now), endpoint, load);
+                    self.routers[index].record_load(Time(now), endpoint, load);
                 }
                 Event::End(index, mut ticket, endpoint, name) => {
                     *self.in_progress.entry(name).or_default() -= 1;
@@ -139,7 +139,7 @@
         let samples = self.routers[index].samples();
         for _ in 0..2 {
             let receiver = self.rng.random_range(0..self.size.routers);
-            self.routers[receiver].seen(Time(now), &reports);
+            self.routers[receiver].record_peer_report(Time(now), &reports);
             self.routers[receiver].sampled(Time(now), &samples);
         }
     }
--- a/crates/core/tests/gateway/staying.rs
+++ b/crates/core/tests/gateway/staying.rs
@@ -140,7 +140,7 @@
     let mut other = gateway(1);
     run_ticks(&mut other, 0, 2600);
     let (reports, _) = one.observed(Time(2600), 1);
-    other.seen(Time(2600), &reports);
+    other.record_peer_report(Time(2600), &reports);
     // Sent at 2500, but counted as sent at 1700: 300 ms for the answer and 500 ms for the digest's transit.
     expect_that!(try_place(&mut other, FIRST_UNCONFIRMED), ok(anything()));
     expect_that!(try_place(&mut other, Time(4399)), ok(anything()));
@@ -174,15 +174,15 @@
         run_ticks(&mut suspended, 0, 1000);
         let report = confirmation(&suspended, load);
         // Suspended from 1000 to 4000; the datagram is read before and after the first tick.
-        suspended.seen(Time(4000), &[report]);
+        suspended.record_peer_report(Time(4000), &[report]);
         suspended.tick(Time(4001));
-        suspended.seen(Time(4002), &[report]);
+        suspended.record_peer_report(Time(4002), &[report]);
         expect_that!(
             try_place(&mut suspended, Time(4003)),
             err(eq(Cause::Unconfirmed))
         );
         run_ticks(&mut suspended, 4100, 4200);
-        suspended.seen(Time(4200), &[report]);
+        suspended.record_peer_report(Time(4200), &[report]);
         expect_that!(try_place(&mut suspended, Time(4201)), ok(anything()));
     }
 }
@@ -203,7 +203,7 @@
         })]
     );
     let mut other = gateway(1);
-    other.seen(Time(2600), &reports);
+    other.record_peer_report(Time(2600), &reports);
     let (_, endpoint) = other
         .registry()
         .usable()
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -87,7 +87,7 @@
             let fresh = state.mesh.borrow_mut().receive(now(), &digest);
             if fresh {
                 let mut gateway = state.gateway.borrow_mut();
-                gateway.seen(now(), &digest.reports);
+                gateway.record_peer_report(now(), &digest.reports);
                 gateway.crashed(now(), &digest.crashes);
                 // Samples name services by index, which is valid for one configuration version only.
                 if gateway.catalog().is_some_and(|c| c.version == epoch) {
--- a/crates/gateway/src/proxied.rs
+++ b/crates/gateway/src/proxied.rs
@@ -287,7 +287,7 @@
         let status = Some(head.status);
         if let Some(load) = reply.load {
             let mut gateway = self.state.gateway.borrow_mut();
-            gateway.stated(now(), placed.endpoint, load);
+            gateway.record_load(now(), placed.endpoint, load);
         }
         if reply.id.as_ref() != Some(&self.ask.id) {
             return Err((guard, Fate::Broken, status));
--- a/crates/replay/src/lab/fleet.rs
+++ b/crates/replay/src/lab/fleet.rs
@@ -286,7 +286,7 @@
                     Next::Try(number) => self.place(now, number),
                     Next::Arrive(number, engine) => self.arrive(now, number, engine),
                     Next::Hear(who, reports, samples, records) => {
-                        self.routers[who].seen(Time(now), &reports);
+                        self.routers[who].record_peer_report(Time(now), &reports);
                         self.routers[who].sampled(Time(now), &samples);
                         self.routers[who].crashed(Time(now), &records);
                     }
@@ -459,7 +459,7 @@
             return;
         };
         let load = self.engines[engine].load();
-        self.routers[request.router].stated(Time(now), *endpoint, load);
+        self.routers[request.router].record_load(Time(now), *endpoint, load);
         let outcome = &mut self.account.outcomes[number];
         let took = now + WAY - request.asked;
         outcome.first = Some(took);
