--- a/crates/core/src/gateway/attempt.rs
+++ b/crates/core/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One request on its way: admitted, placed, sent, and what follows an attempt's end.
+//! The path of one request: admission, placement, sending, and what follows the end of an attempt.
 
 use std::sync::Arc;
 
@@ -25,7 +25,6 @@
             Fingerprint, //
         },
         hot_spots,
-        knowledge::cold_time,
         place,
         quarantine::{
             self,
@@ -36,7 +35,8 @@
             Refusal, //
         },
         route::Route,
-        spread_until, //
+        spread_retry_delay, //
+        updates::warmup_time,
     },
     units::{
         Millis,
@@ -44,51 +44,52 @@
     },
 };
 
-/// Times a route's goal after which an attempt without any answer is given up: it is late by then,
-/// and an endpoint that hangs would hold it until the caller leaves.
-const GOALS: u64 = 2;
-/// Times the longest pause that is on time after which a stream without a further event is given up.
-const PAUSES: u64 = 4;
-/// Shortest time that an endpoint may say nothing: below it, a busy endpoint would be taken for one that hangs.
-const MIN_SILENCE: Millis = Millis(600);
+/// Multiple of a route's goal after which an attempt without any answer is given up. The answer is
+/// late by then, and a hanging endpoint would hold the request until the caller leaves.
+const STALL_GOAL_MULTIPLE: u64 = 2;
+/// Multiple of a route's longest on-time pause after which a stream without a further event is
+/// given up.
+const STALL_PAUSE_MULTIPLE: u64 = 4;
+/// Shortest time without a sign of life after which an endpoint is given up. A shorter one would
+/// give up busy endpoints as hanging.
+const MIN_SILENCE_TIMEOUT: Millis = Millis(600);
 
-/// Endpoints that may prove unreachable in one request before it is given up: each costs a
-/// connection's timeout.
+/// Unreachable endpoints after which a request is given up, because each costs a connect timeout.
 const MAX_UNREACHED: usize = 3;
 
-/// `Ticket` is an admitted request on its way through its attempts.
+/// `Ticket` is an admitted request and the state of its attempts.
 #[derive(Clone, Debug)]
 pub struct Ticket {
-    /// Route that it took.
+    /// Route that the request matched.
     pub route: Arc<Route>,
-    /// Service that the route's split drew.
+    /// Service drawn from the route's weighted services.
     pub service: Bytes,
-    /// Workspace that sent it; `None` on routes open to everybody.
+    /// Workspace that sent it; `None` if it came without a known key on a route that needs none.
     pub workspace: Option<Arc<Workspace>>,
-    /// Rank under overload; 0 goes first.
+    /// Priority under overload; 0 is the most urgent.
     pub priority: u8,
     /// When the caller stops waiting.
     pub deadline: Time,
-    /// When it must have its final answer: the deadline or the route's limit, if that is earlier.
+    /// When the final answer is due: the deadline, or the route's time limit if that is earlier.
     pub until: Time,
     /// Version of the configuration that admitted it.
     pub version: u64,
     /// Endpoints that it was sent to.
     pub tried: Vec<EndpointKey>,
-    /// When it was last sent to one.
+    /// When it was last sent to an endpoint.
     pub sent: Time,
-    /// Endpoints that could not be reached; they don't count as attempts.
+    /// Endpoints that could not be connected to; they don't count as attempts.
     pub unreached: Vec<EndpointKey>,
-    /// Whether some attempt may have run.
+    /// Whether an endpoint may have run it.
     pub may_have_run: bool,
-    /// Whether a repeat is counted that has not been sent yet.
-    pub granted: bool,
-    /// Its content, where that was looked at.
+    /// Whether the retry budget is already charged for a retry that has not been sent yet.
+    pub retry_reserved: bool,
+    /// Fingerprint of its content, if that was computed.
     pub content: Option<Fingerprint>,
 }
 
 impl Ticket {
-    /// Counts the endpoints that it was sent to.
+    /// Counts its attempts: the endpoints that it was sent to.
     pub fn attempts(&self) -> u32 {
         u32::try_from(self.tried.len()).unwrap_or(u32::MAX)
     }
@@ -100,38 +101,38 @@
 }
 
 impl Gateway {
-    /// Admits a request, or says why not.
+    /// Admits a request, or refuses it.
     ///
     /// # Errors
     ///
-    /// The refusal that the caller gets at once.
+    /// The refusal that the caller gets immediately.
     pub fn admit(&mut self, now: Time, ask: &Ask) -> Result<Ticket, Refusal> {
         let Some(catalog) = self.catalog.clone() else {
-            return Err(Refusal::later(Cause::NotReady));
+            return Err(Refusal::temporary(Cause::NotReady));
         };
         if !self.proof.covers_routes(now, &self.bounds) {
-            return Err(Refusal::later(Cause::Stale));
+            return Err(Refusal::temporary(Cause::Stale));
         }
         let Some(route) = catalog.route(&ask.host, &ask.path) else {
-            return Err(Refusal::never(Cause::UnknownRoute));
+            return Err(Refusal::permanent(Cause::UnknownRoute));
         };
         let workspace = match &ask.key {
             Some(key) => catalog.holder(key),
             None => None,
         };
         if workspace.is_none() && !route.anonymous && catalog.has_workspaces() {
-            return Err(Refusal::never(Cause::UnknownKey));
+            return Err(Refusal::permanent(Cause::UnknownKey));
         }
         let began = now - ask.waited;
         let limit = began + route.limit;
         let deadline = ask.deadline.map_or(limit, |left| began + left);
         let until = deadline.min(limit);
         if self.outlasts_stop(route, until) {
-            return Err(Refusal::later(Cause::Stopping));
+            return Err(Refusal::temporary(Cause::Stopping));
         }
         let draw = self.draw();
         let Some(service) = route.service(draw) else {
-            return Err(Refusal::later(Cause::NoEndpoint));
+            return Err(Refusal::temporary(Cause::NoEndpoint));
         };
         let priority = workspace
             .as_ref()
@@ -151,7 +152,7 @@
             sent: now,
             unreached: Vec::new(),
             may_have_run: false,
-            granted: false,
+            retry_reserved: false,
             content: None,
         })
     }
@@ -160,7 +161,7 @@
     ///
     /// # Errors
     ///
-    /// The refusal that the caller gets at once.
+    /// The refusal that the caller gets immediately.
     pub fn place(
         &mut self,
         now: Time,
@@ -170,32 +171,36 @@
         if now >= ticket.until {
             return Err(Refusal::given_up(Cause::Deadline, ticket.may_have_run));
         }
-        self.release(now, ticket)?;
+        self.check_quarantine(now, ticket)?;
         let draw = self.draw();
         let part = ask.prompt.as_ref().and_then(ask::Prompt::anchor);
         let first = ticket.tried.is_empty() && ticket.unreached.is_empty();
         if let Some(part) = part.filter(|_| first) {
-            self.note_request(now, &ticket.service, hot_spots::tag(part.id), ask.work());
+            self.record_request_sample(now, &ticket.service, hot_spots::tag(part.id), ask.work());
         }
         if self.warmup.has_cold_endpoints() {
             self.warmup.record_waiting(now, ticket.workspace_tag());
         }
         let context = place::PlacementContext {
-            share: self.share(&ticket.service),
+            share: self.connection_share(&ticket.service),
             hot_spots: self.hot_spots.get(&ticket.service),
             registry: &self.registry,
             proof: &self.proof,
             bounds: &self.bounds,
-            warmup: self.cold_bound(&ticket.service).map(|_| &self.warmup),
+            warmup: self.warmup_limit(&ticket.service).map(|_| &self.warmup),
             now,
             draw,
         };
         let placed = place::choose(&context, ticket, ask.prompt.as_ref());
         let Some(placed) = placed else {
             if let Some(warm) = place::time_until_warm(&context, ticket) {
-                let wait = spread_until(now, ticket.deadline, warm, draw);
+                let wait = spread_retry_delay(now, ticket.deadline, warm, draw);
                 let may_have_run = ticket.may_have_run;
-                return Err(Refusal::until(Cause::WarmingUp, wait, may_have_run));
+                return Err(Refusal::with_retry_after(
+                    Cause::WarmingUp,
+                    wait,
+                    may_have_run,
+                ));
             }
             let cause = if place::has_unconfirmed(&context, ticket) {
                 Cause::Unconfirmed
@@ -208,18 +213,19 @@
             let workspace = ticket.workspace_tag();
             self.warmup.record_placed(now, workspace, placed.endpoint);
         }
-        let shares = self
+        let engines_share = self
             .catalog
             .as_ref()
             .is_some_and(|c| c.shares(&ticket.service));
         Ok(place::Placed {
-            holder: placed.holder.filter(|_| shares),
+            holder: placed.holder.filter(|_| engines_share),
             ..placed
         })
     }
 
-    /// Lets a request go on that isn't held back, or that is the one in many that is tried.
-    fn release(&mut self, now: Time, ticket: &Ticket) -> Result<(), Refusal> {
+    /// Checks that a request is not held back by the quarantine, or that it is let through as a
+    /// trial.
+    fn check_quarantine(&mut self, now: Time, ticket: &Ticket) -> Result<(), Refusal> {
         let (Some(verdict), Some(content)) = (self.verdict(now, ticket), ticket.content) else {
             return Ok(());
         };
@@ -232,10 +238,11 @@
             return Ok(());
         }
         let left = verdict.left.max(quarantine::MIN_RETRY_AFTER);
-        Err(Refusal::held(left, ticket.may_have_run))
+        Err(Refusal::quarantined(left, ticket.may_have_run))
     }
 
-    /// Gets the fingerprint of a request's content, and looks whether it was answered here before.
+    /// Gets the fingerprint of a request's content, and tells the quarantine if the same content
+    /// was answered completely through this router before.
     pub fn identify(&mut self, now: Time, content: &Content<'_>) -> Fingerprint {
         let request = Fingerprint::of(content);
         let hash = fingerprint::quick(self.seed, content);
@@ -243,20 +250,21 @@
         request
     }
 
-    /// Remembers that a content was answered whole.
-    pub fn remember(&mut self, now: Time, content: &Content<'_>) {
+    /// Notes that a request with this content was answered completely.
+    pub fn record_complete_answer(&mut self, now: Time, content: &Content<'_>) {
         let hash = fingerprint::quick(self.seed, content);
-        self.quarantine.remember(now, hash);
+        self.quarantine.record_complete_answer(now, hash);
     }
 
-    /// Tells whether contents of a ticket's workspace are to be looked at: some of them were in progress at endpoints
-    /// that broke off.
-    pub fn watches(&self, ticket: &Ticket) -> bool {
+    /// Tells whether the contents of this workspace's requests must be fingerprinted, because some
+    /// of them were in progress at endpoints whose connections broke.
+    pub fn has_suspects(&self, ticket: &Ticket) -> bool {
         let workspace = ticket.workspace.as_ref().map(|w| &w.name);
-        self.quarantine.watches(fingerprint::workspace(workspace))
+        self.quarantine
+            .has_suspects(fingerprint::workspace(workspace))
     }
 
-    /// Tells whether and why a ticket is held back.
+    /// Tells whether, why and for how long a request is held back.
     pub fn verdict(&self, now: Time, ticket: &Ticket) -> Option<Verdict> {
         let liveness_since = |life, since| self.registry.liveness_since(life, since);
         let content = ticket.content?;
@@ -264,8 +272,9 @@
             .verdict(now, content, self.bounds.hold, liveness_since)
     }
 
-    /// Tells whether an endpoint may get a request now. Asked right before it is sent: a connection may
-    /// have taken so long that what was proved when the endpoint was chosen isn't any more.
+    /// Tells whether an endpoint may get a request now. It is checked again right before sending,
+    /// because the evidence that held when the endpoint was chosen may have expired while the
+    /// connection was made.
     pub fn may_send(&self, now: Time, endpoint: EndpointKey) -> bool {
         let endpoint = self.registry.get(endpoint);
         self.proof.covers_evacuations(now, &self.bounds)
@@ -274,38 +283,39 @@
             })
     }
 
-    /// Tells whether a request may go where it was placed: the endpoint may have become cold since, and then gets only
-    /// what is counted.
+    /// Tells whether a request may be sent to the endpoint chosen for it. The endpoint may have
+    /// become cold since, and then gets only requests that count against this router's part of its
+    /// warm-up limit.
     pub fn may_send_placed(&self, now: Time, ticket: &Ticket, placed: &place::Placed) -> bool {
         let endpoint = self.registry.get(placed.endpoint);
         let cold = endpoint.is_some_and(|e| e.cold(now) > Millis(0));
-        let counted = placed.cold || !cold || self.cold_bound(&ticket.service).is_none();
+        let counted = placed.cold || !cold || self.warmup_limit(&ticket.service).is_none();
         counted && self.may_send(now, placed.endpoint)
     }
 
-    /// Notes that an endpoint's answer doesn't say that it leaves. It counts from the request's sending, as
-    /// the answer may have waited here.
+    /// Notes that an endpoint's answer does not say that it is leaving. The confirmation counts
+    /// from when the request was sent, as the answer may have waited in this process.
     pub fn confirm(&mut self, ticket: &Ticket, endpoint: EndpointKey) {
         self.registry.confirm(endpoint, ticket.sent);
     }
 
-    /// Notes that an attempt goes out.
+    /// Notes that an attempt is sent.
     pub fn sent(&mut self, now: Time, ticket: &mut Ticket, endpoint: EndpointKey) {
-        ticket.granted = false;
+        ticket.retry_reserved = false;
         ticket.tried.push(endpoint);
         ticket.sent = now;
         self.warmup.sent(now, endpoint);
         self.registry.sent(now, endpoint);
     }
 
-    /// Notes the load that an endpoint states of itself.
+    /// Notes the load that an endpoint reports in its answer.
     pub fn record_load(&mut self, now: Time, endpoint: EndpointKey, load: endpoint::Load) {
         self.registry.record_load(now, endpoint, load);
     }
 
-    /// Gets how long an endpoint may say nothing before another one is asked, `begun` once it has
-    /// sent a part of the answer. `None` where no other attempt could follow: then waiting is all
-    /// that is left.
+    /// Gets how long an endpoint may show no sign of life before another one is tried; `begun`
+    /// tells whether a part of the answer has arrived. `None` if no other attempt could follow, so
+    /// that the router keeps waiting.
     pub fn silence_timeout(&mut self, now: Time, ticket: &Ticket, begun: bool) -> Option<Millis> {
         let route = &ticket.route;
         if !route.kind.repeatable() || ticket.attempts() >= route.attempts {
@@ -315,17 +325,17 @@
             !ticket.tried.contains(key) && !e.paused(now)
         };
         self.registry.of(&ticket.service).find(other)?;
-        if !self.may_repeat(now, &ticket.service) {
+        if !self.may_retry(now, &ticket.service) {
             return None;
         }
         Some(if begun {
-            Millis(route.pause.0 * PAUSES).max(MIN_SILENCE)
+            Millis(route.pause.0 * STALL_PAUSE_MULTIPLE).max(MIN_SILENCE_TIMEOUT)
         } else {
-            Millis(route.goal.0 * GOALS).max(MIN_SILENCE)
+            Millis(route.goal.0 * STALL_GOAL_MULTIPLE).max(MIN_SILENCE_TIMEOUT)
         })
     }
 
-    /// Notes how an attempt ended and says what follows.
+    /// Notes how an attempt ended, and decides what follows.
     pub fn ended(
         &mut self,
         now: Time,
@@ -333,15 +343,15 @@
         endpoint: EndpointKey,
         fate: Fate,
     ) -> Next {
-        self.record(now, ticket, endpoint, fate);
+        self.record_outcome(now, ticket, endpoint, fate);
         self.registry
             .ended(now, endpoint, fate, now.since(ticket.sent));
-        self.judge(now, ticket, endpoint, fate)
+        self.decide_next(now, ticket, endpoint, fate)
     }
 
-    /// Notes what an attempt's end says of its request. An endpoint that is leaving may end its connections; that
-    /// is no crash.
-    fn record(&mut self, now: Time, ticket: &Ticket, endpoint: EndpointKey, fate: Fate) {
+    /// Tells the quarantine how an attempt ended. A broken connection to a leaving endpoint is no
+    /// crash, because such an endpoint may close its connections.
+    fn record_outcome(&mut self, now: Time, ticket: &Ticket, endpoint: EndpointKey, fate: Fate) {
         let Some(content) = ticket.content else {
             return;
         };
@@ -356,24 +366,30 @@
         }
     }
 
-    /// Notes that the caller of an attempt left.
+    /// Notes that the caller left during an attempt.
     pub fn left(&mut self, now: Time, endpoint: EndpointKey) {
         self.registry.ended(now, endpoint, Fate::Left, Millis(0));
     }
 
     /// Notes that no connection to an endpoint could be made, so that nothing was sent.
     pub fn unreached(&mut self, now: Time, ticket: &mut Ticket, endpoint: EndpointKey) -> Next {
-        let cold = cold_time(self.catalog.as_ref());
+        let cold = warmup_time(self.catalog.as_ref());
         self.registry.unreached(now, endpoint, cold);
-        self.judge(now, ticket, endpoint, Fate::NotSent)
+        self.decide_next(now, ticket, endpoint, Fate::NotSent)
     }
 
-    fn judge(&mut self, now: Time, ticket: &mut Ticket, endpoint: EndpointKey, fate: Fate) -> Next {
+    fn decide_next(
+        &mut self,
+        now: Time,
+        ticket: &mut Ticket,
+        endpoint: EndpointKey,
+        fate: Fate,
+    ) -> Next {
         if fate == Fate::NotSent {
             ticket.tried.retain(|k| *k != endpoint);
             ticket.unreached.push(endpoint);
-            // A repeat that was counted has not arrived.
-            ticket.granted |= !ticket.tried.is_empty();
+            // The retry charged to the budget was not sent.
+            ticket.retry_reserved |= !ticket.tried.is_empty();
         }
         ticket.may_have_run |= fate.may_have_run();
         if matches!(fate, Fate::Answered | Fate::Left) {
@@ -384,31 +400,32 @@
         let allowed = fate.repeatable(ticket.route.kind)
             && (!ticket.may_have_run || ticket.route.kind.repeatable());
         let open = open && allowed && ticket.unreached.len() < MAX_UNREACHED;
-        if open && (free || self.grant(now, ticket)) {
+        if open && (free || self.reserve_retry(now, ticket)) {
             Next::Again
         } else {
             Next::GiveUp
         }
     }
 
-    /// Counts a repeat if one may follow. It counts from now, as others may be granted before it is
-    /// sent; one that could not be sent is still there for the next try.
-    fn grant(&mut self, now: Time, ticket: &mut Ticket) -> bool {
-        if !ticket.granted && self.may_repeat(now, &ticket.service) {
+    /// Charges a retry to the budget if one is allowed. The charge counts from now, since other
+    /// requests may be allowed a retry before this one is sent. A retry that could not be sent
+    /// keeps its charge for the next try.
+    fn reserve_retry(&mut self, now: Time, ticket: &mut Ticket) -> bool {
+        if !ticket.retry_reserved && self.may_retry(now, &ticket.service) {
             let window = self.bounds.retry.window;
             self.budget(&ticket.service).repeat(now, window);
-            ticket.granted = true;
+            ticket.retry_reserved = true;
         }
-        ticket.granted
+        ticket.retry_reserved
     }
 
     fn budget(&mut self, service: &Bytes) -> &mut Budget {
         self.budgets.entry(service.clone()).or_default()
     }
 
-    fn may_repeat(&mut self, now: Time, service: &Bytes) -> bool {
+    fn may_retry(&mut self, now: Time, service: &Bytes) -> bool {
         let mut policy = self.bounds.retry;
-        if now < self.extra_from {
+        if now < self.extra_retries_from {
             policy.extra = 0;
         }
         self.budget(service).allows(now, &policy)
--- a/crates/core/src/gateway/mod.rs
+++ b/crates/core/src/gateway/mod.rs
@@ -1,12 +1,14 @@
-//! The decisions of a router in front of replicated services that a registry lists.
+//! The decisions of a router in front of replicated services whose endpoints are listed in a
+//! registry.
 //!
-//! [`Gateway`] takes checked requests, what the registry says and how attempts ended, each with its
-//! time; it answers which endpoint gets a request, whether a failed attempt is followed by another,
-//! and what a caller is told. It does no I/O and reads no clock.
+//! [`Gateway`] is given parsed requests, changes of the registry and the outcomes of attempts, each
+//! with its time. It decides which endpoint gets a request, whether a failed attempt is retried,
+//! and what the caller is told. It does no I/O and reads no clock.
 //!
-//! A request passes [`Gateway::admit`] (route, key, age of what is known), then for each attempt
-//! [`Gateway::place`] and [`Gateway::ended`] ([`attempt`]). What the router knows comes by [`knowledge`];
-//! how it stops is in [`stop`].
+//! A request passes [`Gateway::admit`], which checks its route, its key and the age of the
+//! configuration, and for each attempt [`Gateway::place`] and [`Gateway::ended`] (see [`attempt`]).
+//! [`updates`] takes in what the registry and other routers report; [`stop`] is about shutting
+//! down.
 
 use std::{
     collections::VecDeque,
@@ -34,7 +36,6 @@
 pub mod fate;
 pub mod fingerprint;
 pub mod hot_spots;
-pub mod knowledge;
 pub mod mesh;
 pub mod mirror;
 pub mod place;
@@ -46,12 +47,13 @@
 pub mod route;
 pub mod settings;
 pub mod stop;
+pub mod updates;
 pub mod warmup;
 
 pub use attempt::Ticket;
-pub use knowledge::{
+pub use updates::{
     Change,
-    News, //
+    RegistryEvent, //
 };
 
 use budget::Budget;
@@ -65,39 +67,40 @@
 use stop::StopDeadline;
 use warmup::Warmup;
 
-/// Shortest wait that a refused caller is told: the time in which news go round a small fleet.
-const COME_BACK: Millis = Millis(150);
+/// Shortest retry delay that a refused caller is told: the time in which changes reach all routers
+/// of a small fleet.
+const MIN_RETRY_DELAY: Millis = Millis(150);
 
-/// `Gateway` is one router.
+/// `Gateway` is the state of one router.
 #[derive(Debug)]
 pub struct Gateway {
     bounds: Bounds,
     catalog: Option<Arc<Catalog>>,
     registry: Registry,
     proof: FreshnessProof,
-    /// When the last tick was.
-    ticked: Time,
-    /// When the first tick after a suspension was.
-    woke: Time,
+    /// Time of the last tick.
+    last_tick: Time,
+    /// Time of the first tick after the process was suspended.
+    resumed_at: Time,
     budgets: IndexMap<Bytes, Budget>,
     hot_spots: IndexMap<Bytes, HotSpots>,
-    /// Newest requests that peers have not been told of, oldest first.
+    /// Newest requests that this router's peers have not been told of, oldest first.
     samples: VecDeque<Sample>,
     quarantine: Quarantine,
     warmup: Warmup,
-    /// Seed of the quick hashes of contents.
+    /// Seed of the keyed hashes of request contents.
     seed: u64,
     end: Option<StopDeadline>,
     routers: u32,
-    /// Most routers that were heard of lately, this one among them, and when.
-    most: (u32, Time),
-    /// From when this router's part of the fleet's extra repeats may be used.
-    extra_from: Time,
+    /// Greatest recent number of routers, this one included, and when it was last observed.
+    max_routers: (u32, Time),
+    /// Time from which this router may use its part of the fleet's extra retries.
+    extra_retries_from: Time,
     rng: StdRng,
 }
 
 impl Gateway {
-    /// Makes a gateway that knows nothing yet; `seed` is that of its random draws.
+    /// Makes a gateway without any knowledge; `seed` seeds its random number generator.
     pub fn new(bounds: Bounds, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         Self {
@@ -105,8 +108,8 @@
             catalog: None,
             registry: Registry::default(),
             proof: FreshnessProof::default(),
-            ticked: Time(0),
-            woke: Time(0),
+            last_tick: Time(0),
+            resumed_at: Time(0),
             budgets: IndexMap::new(),
             hot_spots: IndexMap::new(),
             samples: VecDeque::new(),
@@ -115,47 +118,47 @@
             seed: rng.random(),
             end: None,
             routers: 1,
-            most: (1, Time(0)),
-            extra_from: Time(0),
+            max_routers: (1, Time(0)),
+            extra_retries_from: Time(0),
             rng,
         }
     }
 
-    /// Gets the configuration in force.
+    /// Gets the configuration in force; `None` before the first one.
     pub fn catalog(&self) -> Option<&Arc<Catalog>> {
         self.catalog.as_ref()
     }
 
-    /// Gets the endpoints.
+    /// Gets the known endpoints.
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// Gets the age of what is known.
+    /// Gets how recently the registry was read.
     pub fn proof(&self) -> &FreshnessProof {
         &self.proof
     }
 
-    /// Gets the bounds that it keeps.
+    /// Gets the bounds in force.
     pub fn bounds(&self) -> &Bounds {
         &self.bounds
     }
 
-    /// Follows new bounds.
+    /// Replaces the bounds.
     pub fn set_bounds(&mut self, bounds: Bounds) {
         self.bounds = bounds;
-        self.divide();
+        self.update_extra_retries();
     }
 
-    /// Notes that an earlier life of this router may have ended just now. It may have used the
-    /// router's part of the fleet's extra repeats, so this life uses its share alone for the length
-    /// of the window. Without this, routers that are killed again and again while answers are failures repeat
-    /// more than is allowed.
+    /// Notes that an earlier run of this router may have ended just now. That run may have used the
+    /// router's part of the fleet's extra retries, so this one does without them for the length of
+    /// the window. Otherwise routers that are restarted repeatedly while requests fail would retry
+    /// more often than allowed.
     pub fn restarted(&mut self, now: Time) {
-        self.extra_from = now + self.bounds.retry.window;
+        self.extra_retries_from = now + self.bounds.retry.window;
     }
 
-    /// Tells whether callers may be sent here.
+    /// Tells whether this router can serve requests.
     pub fn ready(&self, now: Time) -> bool {
         let reachable = self
             .registry
@@ -164,23 +167,24 @@
         self.catalog.is_some() && reachable && self.proof.covers_routes(now, &self.bounds)
     }
 
-    /// Draws a number.
+    /// Draws a random number.
     pub fn draw(&mut self) -> u64 {
         self.rng.random()
     }
 }
 
-/// Gets when a refused caller should come back where there is room after `room`: spread by `draw` over the time until
-/// then, as there is some before, and within a third of the time that it has left.
-fn spread_until(now: Time, deadline: Time, room: Millis, draw: u64) -> Millis {
-    let wait = COME_BACK.0 + draw % room.0.max(COME_BACK.0);
+/// Gets the retry delay for a refused caller if there will be room after `room`. It is spread by
+/// `draw` over that time, as some room becomes free earlier, and is at most a third of the time
+/// left until the deadline.
+fn spread_retry_delay(now: Time, deadline: Time, room: Millis, draw: u64) -> Millis {
+    let wait = MIN_RETRY_DELAY.0 + draw % room.0.max(MIN_RETRY_DELAY.0);
     Millis(wait.min(deadline.since(now).0 / 3))
 }
 
-/// Gets when a refused caller should come back: soon, spread by `draw` so that those refused
-/// together don't return together, and within a third of the time that it has left.
-pub fn come_back(now: Time, deadline: Time, draw: u64) -> Millis {
+/// Gets the retry delay for a refused caller: short, spread by `draw` so that callers refused
+/// together don't return together, and at most a third of the time left until the deadline.
+pub fn retry_delay(now: Time, deadline: Time, draw: u64) -> Millis {
     let left = deadline.since(now).0;
-    let wait = COME_BACK.0 + draw % COME_BACK.0;
+    let wait = MIN_RETRY_DELAY.0 + draw % MIN_RETRY_DELAY.0;
     Millis(wait.min(left / 3))
 }
--- a/crates/core/src/gateway/quarantine.rs
+++ b/crates/core/src/gateway/quarantine.rs
@@ -199,7 +199,7 @@
 impl Quarantine {
     /// Tells whether the workspace has a suspect; otherwise the content of its requests need not be
     /// hashed.
-    pub fn watches(&self, workspace: u32) -> bool {
+    pub fn has_suspects(&self, workspace: u32) -> bool {
         self.suspects.keys().any(|f| f.workspace == workspace)
     }
 
@@ -234,7 +234,7 @@
 
     /// Remembers a complete answer by a hash of the request's content, for requests that become
     /// suspects later. The hash is private to this process.
-    pub fn remember(&mut self, now: Time, hash: u64) {
+    pub fn record_complete_answer(&mut self, now: Time, hash: u64) {
         if self.answers.len() == MAX_REMEMBERED_ANSWERS {
             self.answers.pop_front();
         }
--- a/crates/core/src/gateway/refusal.rs
+++ b/crates/core/src/gateway/refusal.rs
@@ -1,60 +1,60 @@
-//! Why a caller gets no answer of an endpoint, and what it is told.
+//! Why a request is refused, and what its caller is told.
 
 use crate::units::Millis;
 
-/// `Cause` is why a request is given up.
+/// `Cause` is the reason of a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "snake_case")]
 pub enum Cause {
-    /// No configuration is in force yet.
+    /// No configuration has been read yet.
     NotReady,
-    /// What is known of keys and routes is too old to act on.
+    /// The configuration is too old to act on: its keys and routes may have changed.
     Stale,
-    /// Nothing confirms that an endpoint that could take it isn't leaving.
+    /// No endpoint that could serve the request is confirmed recently enough not to be leaving.
     Unconfirmed,
-    /// The request is not well formed.
+    /// The request is malformed.
     Malformed,
-    /// The request is larger than callers may send.
+    /// The request is larger than the configured limits.
     TooLarge,
-    /// The caller took too long to send it.
+    /// The caller took too long to send the request.
     TooSlow,
     /// No route matches.
     UnknownRoute,
     /// No workspace holds the key.
     UnknownKey,
-    /// No endpoint can take it.
+    /// No endpoint can serve the request.
     NoEndpoint,
-    /// Endpoints took it and failed.
+    /// Endpoints got the request and failed.
     EndpointFailed,
-    /// Time ran out.
+    /// The deadline passed.
     Deadline,
-    /// This router stops before the request could be done.
+    /// This router shuts down before the request could be completed.
     Stopping,
-    /// The service has more work than it can do in time.
+    /// The service has more work than it can complete in time.
     Overloaded,
-    /// Endpoints that ran the same request before have ended with it.
+    /// Earlier runs of the same request crashed endpoints.
     Quarantined,
-    /// All endpoints that could take it are cold, and have as many requests as they tolerate.
+    /// All endpoints that could serve the request are cold and at their warm-up limit.
     WarmingUp,
 }
 
-/// `Refusal` is the final answer to a request that is given up; it goes out at once.
+/// `Refusal` is the final answer to a request that is not served; it is sent immediately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason.
     pub cause: Cause,
-    /// Whether it may have run. If not, that is a promise, and the caller is told when to come
-    /// back.
+    /// Whether an endpoint may have run the request. `false` is a guarantee, and the caller is then
+    /// told when to retry.
     pub may_have_run: bool,
-    /// Whether coming back could help.
+    /// Whether a retry could succeed.
     pub again: bool,
-    /// Time before which coming back can't help, where it is known.
+    /// Time before which a retry can't succeed, if known.
     pub after: Option<Millis>,
 }
 
 impl Refusal {
-    /// Refuses what was not run and may be served later.
-    pub const fn later(cause: Cause) -> Self {
+    /// Refuses a request that was not run; a retry may succeed.
+    pub const fn temporary(cause: Cause) -> Self {
         Self {
             cause,
             may_have_run: false,
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Refuses what would be refused again.
-    pub const fn never(cause: Cause) -> Self {
+    /// Refuses a request that was not run; a retry would be refused as well.
+    pub const fn permanent(cause: Cause) -> Self {
         Self {
             cause,
             may_have_run: false,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Gives up a request after its attempts.
+    /// Gives up an admitted request; a retry may succeed if it was not run.
     pub const fn given_up(cause: Cause, may_have_run: bool) -> Self {
         Self {
             cause,
@@ -83,13 +83,13 @@
         }
     }
 
-    /// Holds a request back for a time.
-    pub const fn held(left: Millis, may_have_run: bool) -> Self {
-        Self::until(Cause::Quarantined, left, may_have_run)
+    /// Refuses a request that the quarantine holds back for the time `left`.
+    pub const fn quarantined(left: Millis, may_have_run: bool) -> Self {
+        Self::with_retry_after(Cause::Quarantined, left, may_have_run)
     }
 
-    /// Gives up a request that may be served after a time.
-    pub const fn until(cause: Cause, left: Millis, may_have_run: bool) -> Self {
+    /// Gives up a request that may be served after the time `left`.
+    pub const fn with_retry_after(cause: Cause, left: Millis, may_have_run: bool) -> Self {
         Self {
             after: Some(left),
             ..Self::given_up(cause, may_have_run)
--- a/crates/core/src/gateway/registry.rs
+++ b/crates/core/src/gateway/registry.rs
@@ -9,7 +9,7 @@
 use crate::{
     arena::EndpointKey,
     gateway::{
-        News,
+        RegistryEvent,
         endpoint::{
             Endpoint,
             Entry,
@@ -92,7 +92,13 @@
     /// an entry of a later one removes the earlier one. Otherwise a restarted endpoint would keep
     /// the load and the leaving state of its previous incarnation, and would be expected to hold
     /// prompts that it has lost.
-    pub fn put(&mut self, now: Time, since: Option<Time>, entry: Entry, news: &mut Vec<News>) {
+    pub fn put(
+        &mut self,
+        now: Time,
+        since: Option<Time>,
+        entry: Entry,
+        news: &mut Vec<RegistryEvent>,
+    ) {
         let known = self.by_name.get(&entry.id);
         let endpoint = known.and_then(|k| self.endpoints.get(*k));
         let known_start = endpoint.map(|e| e.entry.born);
@@ -139,7 +145,13 @@
     /// without them the service would have no endpoints. Such endpoints are used until `grace`
     /// after the recovery. If only a few are missing they are removed in any case: if they have not
     /// left, the other endpoints carry their work meanwhile.
-    pub fn remove(&mut self, now: Time, ids: &[Bytes], grace: Millis, news: &mut Vec<News>) {
+    pub fn remove(
+        &mut self,
+        now: Time,
+        ids: &[Bytes],
+        grace: Millis,
+        news: &mut Vec<RegistryEvent>,
+    ) {
         let recovered = self.recovered.filter(|at| now.since(*at) < grace);
         let depleted_services = self.depleted_services(ids);
         for id in ids {
@@ -172,7 +184,7 @@
     }
 
     /// Stops new requests to the endpoints of a data centre until it is restored.
-    pub fn evacuate(&mut self, now: Time, data_center: Bytes, news: &mut Vec<News>) {
+    pub fn evacuate(&mut self, now: Time, data_center: Bytes, news: &mut Vec<RegistryEvent>) {
         if self.evacuated.contains_key(&data_center) {
             return;
         }
@@ -180,7 +192,7 @@
         for endpoint in self.in_data_center(&data_center) {
             endpoint.evacuated = Some(now);
         }
-        news.push(News::Evacuated { data_center });
+        news.push(RegistryEvent::Evacuated { data_center });
     }
 
     /// Ends the evacuation of a data centre. Its endpoints may have become cold meanwhile, each for
@@ -190,7 +202,7 @@
         now: Time,
         data_center: &Bytes,
         cold: impl Fn(&Bytes) -> Millis,
-        news: &mut Vec<News>,
+        news: &mut Vec<RegistryEvent>,
     ) {
         if self.evacuated.shift_remove(data_center).is_none() {
             return;
@@ -199,7 +211,7 @@
             endpoint.evacuated = None;
             endpoint.doubt(now, cold(&endpoint.entry.service));
         }
-        news.push(News::Restored {
+        news.push(RegistryEvent::Restored {
             data_center: data_center.clone(),
         });
     }
@@ -210,7 +222,7 @@
     }
 
     /// Removes an endpoint immediately.
-    pub fn discard(&mut self, id: &Bytes, news: &mut Vec<News>) {
+    pub fn discard(&mut self, id: &Bytes, news: &mut Vec<RegistryEvent>) {
         let Some(key) = self.by_name.swap_remove(id) else {
             return;
         };
@@ -222,7 +234,7 @@
     }
 
     /// Removes endpoints with lapsed entries after the grace period.
-    pub fn expire(&mut self, now: Time, grace: Millis, news: &mut Vec<News>) {
+    pub fn expire(&mut self, now: Time, grace: Millis, news: &mut Vec<RegistryEvent>) {
         let over = |e: &Endpoint| match e.state {
             State::Lapsed { returned } => now.since(returned) >= grace,
             _ => false,
@@ -239,7 +251,7 @@
         returned: Time,
         id: &Bytes,
         depleted_services: &[Bytes],
-        news: &mut Vec<News>,
+        news: &mut Vec<RegistryEvent>,
     ) -> bool {
         let key = self.by_name.get(id);
         let Some(endpoint) = key.and_then(|k| self.endpoints.get_mut(*k)) else {
@@ -352,8 +364,8 @@
     }
 }
 
-fn state_news(endpoint: &Endpoint) -> News {
-    News::Endpoint {
+fn state_news(endpoint: &Endpoint) -> RegistryEvent {
+    RegistryEvent::Endpoint {
         id: endpoint.entry.id.clone(),
         state: endpoint.state,
     }
--- a/crates/core/tests/gateway/budget.rs
+++ b/crates/core/tests/gateway/budget.rs
@@ -98,7 +98,7 @@
 /// Sends a request whose first attempt fails; returns whether another attempt follows.
 fn fail_first_attempt(gateway: &mut Gateway, now: Time) -> Next {
     let request = request("/read/x");
-    gateway.proved(now, now);
+    gateway.record_registry_read(now, now);
     let mut ticket = gateway
         .admit(now, &request)
         .expect("the request is admitted");
--- a/crates/core/tests/gateway/evacuation.rs
+++ b/crates/core/tests/gateway/evacuation.rs
@@ -6,7 +6,7 @@
     gateway::{
         Change,
         Gateway,
-        News,
+        RegistryEvent,
         endpoint::Entry,
         refusal::Cause, //
     },
@@ -28,7 +28,7 @@
     let mut bounds = bounds();
     bounds.evacuation = Some(Millis(3000));
     let mut gateway = Gateway::new(bounds, 1);
-    gateway.proved(Time(0), Time(0));
+    gateway.record_registry_read(Time(0), Time(0));
     let changes = vec![
         catalog_change(1),
         Change::Entry(entry(0)),
@@ -86,7 +86,7 @@
     let news = gateway.follow(Time(10), vec![evacuation_of("b"), evacuation_of("b")]);
     expect_that!(
         news,
-        elements_are![eq(&News::Evacuated {
+        elements_are![eq(&RegistryEvent::Evacuated {
             data_center: data_center.clone()
         })]
     );
--- a/crates/core/tests/gateway/fixture.rs
+++ b/crates/core/tests/gateway/fixture.rs
@@ -145,7 +145,7 @@
     let mut gateway = Gateway::new(bounds(), 1);
     let mut changes = vec![catalog_change(1)];
     changes.extend((0..endpoints).map(|n| Change::Entry(entry(n))));
-    gateway.proved(Time(0), Time(0));
+    gateway.record_registry_read(Time(0), Time(0));
     gateway.follow(Time(0), changes);
     gateway
 }
--- a/crates/core/tests/gateway/flow.rs
+++ b/crates/core/tests/gateway/flow.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use toucanturn_core::{
     gateway::{
-        Gateway, News, Ticket, come_back,
+        Gateway, RegistryEvent, Ticket,
         fate::{
             Fate,
             Next, //
@@ -13,6 +13,7 @@
             Cause,
             Refusal, //
         },
+        retry_delay,
     },
     units::{
         Millis,
@@ -79,7 +80,7 @@
     let refused = gateway.admit(Time(4750), &request("/chat/x"));
     expect_that!(cause_and_retryable(refused), eq((Cause::Stale, true)));
     expect_false!(gateway.ready(Time(4750)));
-    gateway.proved(Time(4800), Time(4790));
+    gateway.record_registry_read(Time(4800), Time(4790));
     expect_that!(
         gateway.admit(Time(4800), &request("/chat/x")),
         ok(anything())
@@ -91,7 +92,7 @@
     let mut gateway = gateway(1);
     gateway.follow(Time(1), vec![catalog_change(9)]);
     let news = gateway.follow(Time(2), vec![catalog_change(8)]);
-    let older = News::Older {
+    let older = RegistryEvent::Older {
         version: 8,
         held: 9,
     };
@@ -205,12 +206,12 @@
 #[gtest]
 fn verify_retry_after_is_at_most_a_third_of_the_remaining_time() {
     for draw in 0..1000 {
-        let wait = come_back(Time(0), Time(600), draw);
+        let wait = retry_delay(Time(0), Time(600), draw);
         expect_that!(wait.0, le(200));
-        let wait = come_back(Time(0), Time(60_000), draw);
+        let wait = retry_delay(Time(0), Time(60_000), draw);
         expect_that!(wait.0, all!(ge(150), lt(300)));
     }
-    expect_that!(come_back(Time(10), Time(5), 3), eq(Millis(0)));
+    expect_that!(retry_delay(Time(10), Time(5), 3), eq(Millis(0)));
 }
 
 /// Guards against a caller that waits until its deadline for an endpoint that accepted the request
--- a/crates/core/tests/gateway/place.rs
+++ b/crates/core/tests/gateway/place.rs
@@ -212,7 +212,7 @@
     }
     expect_that!(moved, gt(1));
     // An endpoint that has been listed for a while caches its prompts itself.
-    gateway.proved(Time(20_000), Time(20_000));
+    gateway.record_registry_read(Time(20_000), Time(20_000));
     let settled = place_at(&mut gateway, 3, Time(20_000));
     expect_that!(settled.holder, not(eq(Some(settled.endpoint))));
     // Prompts can still be fetched from a leaving endpoint.
@@ -331,7 +331,7 @@
     let mut chosen = 0;
     for n in 0..100 {
         let now = Time(7000 + n * 10);
-        gateway.proved(now, now);
+        gateway.record_registry_read(now, now);
         let mut ticket = gateway
             .admit(now, &request)
             .expect("the request is admitted");
@@ -362,7 +362,7 @@
     let mut failing = None;
     for n in 0..400 {
         let now = Time(10 + n * 20);
-        gateway.proved(now, now);
+        gateway.record_registry_read(now, now);
         let mut ticket = gateway
             .admit(now, &request)
             .expect("the request is admitted");
@@ -425,7 +425,7 @@
         chosen(&mut others, hot(n));
         let samples = others.samples();
         expect_that!(samples.len(), eq(1));
-        one.sampled(Time(10), &samples);
+        one.record_peer_samples(Time(10), &samples);
     }
     expect_that!(others.samples(), is_empty());
     let spread: std::collections::HashSet<_> = (0..20).map(|_| chosen(&mut one, 7)).collect();
--- a/crates/core/tests/gateway/quarantine.rs
+++ b/crates/core/tests/gateway/quarantine.rs
@@ -58,7 +58,7 @@
 }
 
 fn admit_request(gateway: &mut Gateway, now: Time, body: &str) -> Ticket {
-    gateway.proved(now, now);
+    gateway.record_registry_read(now, now);
     let mut ticket = gateway
         .admit(now, &request("/once/x"))
         .expect("the request is admitted");
@@ -228,7 +228,7 @@
             let id = entry(u8::try_from(n).expect("the number fits")).id;
             break_connection(&mut one, now, &format!("fatal-{n}"), &id);
         }
-        let (_, records) = one.observed(Time(1300), 1);
+        let (_, records) = one.digest_contents(Time(1300), 1);
         other.crashed(Time(1310), &records);
         for n in 0..4 {
             let now = Time(1700 + n * 300);
@@ -236,7 +236,7 @@
             break_connection(&mut other, now, "a", &id);
             other.tick(now + Millis(50));
             if forwarded {
-                let (_, records) = other.observed(now + Millis(60), 1);
+                let (_, records) = other.digest_contents(now + Millis(60), 1);
                 one.crashed(now + Millis(70), &records);
                 one.tick(now + Millis(100));
             }
@@ -365,7 +365,7 @@
         workspace: Some(&workspace),
         parts,
     };
-    gateway.remember(Time(500), &answered);
+    gateway.record_complete_answer(Time(500), &answered);
     for n in 0..5 {
         send_crashing_request(&mut gateway, Time(1000 + n * 300), "a");
         expect_that!(
@@ -386,7 +386,7 @@
     for n in 0..3 {
         send_crashing_request(&mut other, Time(1000 + n * 300), "a");
     }
-    let (_, records) = other.observed(Time(2000), 1);
+    let (_, records) = other.digest_contents(Time(2000), 1);
     one.crashed(Time(2000), &records);
     let mut ticket = admit_request(&mut one, Time(2500), "b");
     ticket.content = Some(fingerprint("a"));
@@ -400,10 +400,10 @@
     one.ended(Time(2600), &mut ticket, key, Fate::Answered);
     // `other` receives nothing for a long time.
     let later = Time(8000);
-    expect_that!(one.observed(later, 1).1, is_empty());
-    let (_, records) = other.observed(later, 1);
+    expect_that!(one.digest_contents(later, 1).1, is_empty());
+    let (_, records) = other.digest_contents(later, 1);
     one.crashed(later, &records);
-    let (_, records) = one.observed(later + GOSSIP_INTERVAL, 1);
+    let (_, records) = one.digest_contents(later + GOSSIP_INTERVAL, 1);
     other.crashed(later + GOSSIP_INTERVAL, &records);
     expect_false!(is_quarantined(&mut other, later + GOSSIP_INTERVAL, "a"));
 }
@@ -457,7 +457,7 @@
         "records with the most crashes are kept"
     );
     expect_false!(
-        table.watches(999),
+        table.has_suspects(999),
         "a workspace without records isn't watched"
     );
 }
@@ -502,7 +502,7 @@
         let now = self.now;
         for n in 0..self.routers.len() {
             self.routers[n].tick(now);
-            let (_, records) = self.routers[n].observed(now, 1);
+            let (_, records) = self.routers[n].digest_contents(now, 1);
             self.sent_records += records.len();
             for _ in 0..FANOUT {
                 let to = self.rng.random_range(0..self.routers.len());
@@ -671,7 +671,7 @@
 fn verify_workspaces_without_records_are_not_watched() {
     let mut gateway = gateway(4);
     let ticket = admit_request(&mut gateway, Time(1000), "a");
-    expect_false!(gateway.watches(&ticket));
+    expect_false!(gateway.has_suspects(&ticket));
     send_crashing_request(&mut gateway, Time(1000), "a");
-    expect_true!(gateway.watches(&ticket));
+    expect_true!(gateway.has_suspects(&ticket));
 }
--- a/crates/core/tests/gateway/registry.rs
+++ b/crates/core/tests/gateway/registry.rs
@@ -42,7 +42,7 @@
 #[gtest]
 fn verify_a_service_whose_entries_lapsed_is_used_until_they_are_back() {
     let mut gateway = gateway(6);
-    gateway.proved(Time(6000), Time(5990));
+    gateway.record_registry_read(Time(6000), Time(5990));
     gateway.follow(Time(6000), removals(0..6));
     expect_that!(usable_count(&gateway), eq(6));
     gateway.follow(Time(7000), vec![Change::Entry(entry(0))]);
@@ -58,7 +58,7 @@
 #[gtest]
 fn verify_a_few_missing_endpoints_are_gone_even_after_an_outage() {
     let mut gateway = gateway(6);
-    gateway.proved(Time(6000), Time(5990));
+    gateway.record_registry_read(Time(6000), Time(5990));
     gateway.follow(Time(6000), removals(0..2));
     expect_that!(usable_count(&gateway), eq(4));
 }
@@ -69,7 +69,7 @@
 #[gtest]
 fn verify_a_late_copy_is_no_outage() {
     let mut gateway = gateway(6);
-    gateway.proved(Time(1700), Time(1700));
+    gateway.record_registry_read(Time(1700), Time(1700));
     gateway.follow(Time(1700), removals(0..6));
     expect_that!(usable_count(&gateway), eq(0));
 }
@@ -81,7 +81,7 @@
 fn verify_a_long_read_is_no_outage() {
     let mut gateway = gateway(6);
     gateway.outdated(Time(1000));
-    gateway.proved(Time(4900), Time(1000));
+    gateway.record_registry_read(Time(4900), Time(1000));
     gateway.follow(Time(4900), removals(0..6));
     expect_that!(usable_count(&gateway), eq(0));
 }
@@ -91,7 +91,7 @@
 fn verify_an_outage_during_a_read_is_an_outage() {
     let mut gateway = gateway(6);
     gateway.outdated(Time(1000));
-    gateway.proved(Time(6000), Time(5990));
+    gateway.record_registry_read(Time(6000), Time(5990));
     gateway.follow(Time(6000), removals(0..6));
     expect_that!(usable_count(&gateway), eq(6));
 }
@@ -105,7 +105,7 @@
         Change::Entry(leaving)
     });
     gateway.follow(Time(10), leaving.collect());
-    gateway.proved(Time(6000), Time(5990));
+    gateway.record_registry_read(Time(6000), Time(5990));
     gateway.follow(Time(6000), removals(0..6));
     expect_that!(usable_count(&gateway), eq(0));
     expect_true!(gateway.registry().is_empty());
--- a/crates/core/tests/gateway/skew.rs
+++ b/crates/core/tests/gateway/skew.rs
@@ -85,7 +85,7 @@
         let index = self.rng.random_range(0..self.size.routers);
         let router = &mut self.routers[index];
         let at = Time(now);
-        router.proved(at, at);
+        router.record_registry_read(at, at);
         let mut ticket = router.admit(at, request).expect("the request is admitted");
         let placed = router
             .place(at, &ticket, request)
@@ -135,12 +135,12 @@
 
     /// Sends a router's digest to two others.
     fn send_digest(&mut self, now: u64, index: usize) {
-        let (reports, _) = self.routers[index].observed(Time(now), now);
+        let (reports, _) = self.routers[index].digest_contents(Time(now), now);
         let samples = self.routers[index].samples();
         for _ in 0..2 {
             let receiver = self.rng.random_range(0..self.size.routers);
             self.routers[receiver].record_peer_report(Time(now), &reports);
-            self.routers[receiver].sampled(Time(now), &samples);
+            self.routers[receiver].record_peer_samples(Time(now), &samples);
         }
     }
 
--- a/crates/core/tests/gateway/staying.rs
+++ b/crates/core/tests/gateway/staying.rs
@@ -66,7 +66,7 @@
         gateway.ready(FIRST_UNCONFIRMED),
         "another router may have a newer confirmation"
     );
-    gateway.proved(Time(2800), Time(2790));
+    gateway.record_registry_read(Time(2800), Time(2790));
     expect_that!(try_place(&mut gateway, Time(2800)), ok(anything()));
 }
 
@@ -123,7 +123,7 @@
     let endpoint = chosen.expect("the endpoint is confirmed").endpoint;
     expect_true!(gateway.may_send(LAST_CONFIRMED, endpoint));
     expect_false!(gateway.may_send(FIRST_UNCONFIRMED, endpoint));
-    gateway.proved(Time(2800), Time(2790));
+    gateway.record_registry_read(Time(2800), Time(2790));
     expect_true!(gateway.may_send(Time(2800), endpoint));
     let mut leaving = entry(0);
     leaving.leaving = true;
@@ -139,7 +139,7 @@
     confirm_by_answer(&mut one, Time(2500));
     let mut other = gateway(1);
     run_ticks(&mut other, 0, 2600);
-    let (reports, _) = one.observed(Time(2600), 1);
+    let (reports, _) = one.digest_contents(Time(2600), 1);
     other.record_peer_report(Time(2600), &reports);
     // Sent at 2500, but counted as sent at 1700: 300 ms for the answer and 500 ms for the digest's transit.
     expect_that!(try_place(&mut other, FIRST_UNCONFIRMED), ok(anything()));
@@ -149,7 +149,7 @@
         err(eq(Cause::Unconfirmed))
     );
     // The confirmation isn't forwarded, as its transit times would add up unnoticed.
-    expect_that!(other.observed(Time(2600), 1).0, is_empty());
+    expect_that!(other.digest_contents(Time(2600), 1).0, is_empty());
 }
 
 /// A digest that waited in a socket while its receiver was suspended looks new, but its confirmations may be as old
@@ -192,7 +192,7 @@
 fn verify_an_answer_without_a_load_is_reported_to_peers() {
     let mut one = gateway(1);
     confirm_by_answer(&mut one, Time(2500));
-    let (reports, _) = one.observed(Time(2600), 1);
+    let (reports, _) = one.digest_contents(Time(2600), 1);
     expect_that!(
         reports,
         elements_are![matches_pattern!(EndpointReport {
@@ -231,9 +231,9 @@
     expect_that!(refused(&mut gateway, 2850), err(eq(Cause::Stale)));
     expect_false!(gateway.ready(Time(2850)));
     // A copy from before that call doesn't contain the newer revision either; a later one does.
-    gateway.proved(Time(2860), Time(900));
+    gateway.record_registry_read(Time(2860), Time(900));
     expect_that!(refused(&mut gateway, 3750), err(eq(Cause::Stale)));
-    gateway.proved(Time(2870), Time(1000));
+    gateway.record_registry_read(Time(2870), Time(1000));
     expect_that!(refused(&mut gateway, 5749), ok(anything()));
 }
 
--- a/crates/core/tests/gateway/warmup.rs
+++ b/crates/core/tests/gateway/warmup.rs
@@ -316,7 +316,7 @@
     let mut gateway = Gateway::new(bounds(), 1);
     let mut changes = vec![Change::Catalog(Box::new(catalog))];
     changes.extend(endpoints.iter().cloned().map(Change::Entry));
-    gateway.proved(Time(0), Time(0));
+    gateway.record_registry_read(Time(0), Time(0));
     gateway.follow(Time(0), changes);
     run_lone_round(&mut gateway, Time(0));
     gateway
@@ -324,8 +324,8 @@
 
 /// Runs a round of digests of the only router.
 fn run_lone_round(gateway: &mut Gateway, now: Time) {
-    gateway.proved(now, now);
-    gateway.follow_fleet(now, &Fleet::default());
+    gateway.record_registry_read(now, now);
+    gateway.update_fleet(now, &Fleet::default());
 }
 
 fn cold_entry(number: u8, millis: u64) -> Entry {
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -33,12 +33,12 @@
 use toucanturn_core::{
     gateway::{
         ask::Ask,
-        come_back,
         fate::Next,
         refusal::{
             Cause,
             Refusal, //
         },
+        retry_delay,
     },
     units::{
         Millis,
@@ -119,7 +119,7 @@
         if state.log.try_admit() {
             tracing::warn!(event = 601, why, "request is malformed");
         }
-        (no_id, Refusal::never(Cause::Malformed))
+        (no_id, Refusal::permanent(Cause::Malformed))
     })?;
     let limits = {
         let gateway = state.gateway.borrow();
@@ -127,7 +127,7 @@
     };
     // Refuses a body whose declared length exceeds the limit without reading it.
     if body.size_hint().lower() > u64::try_from(limits.body).unwrap_or(u64::MAX) {
-        return Err((ask.id, Refusal::never(Cause::TooLarge)));
+        return Err((ask.id, Refusal::permanent(Cause::TooLarge)));
     }
     let body_timeout = ask.deadline.unwrap_or(limits.idle).min(limits.idle);
     let collected = timeout(
@@ -137,14 +137,14 @@
     match collected.await {
         Ok(Ok(body)) => Ok((ask, body.to_bytes())),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
-            Err((ask.id, Refusal::never(Cause::TooLarge)))
+            Err((ask.id, Refusal::permanent(Cause::TooLarge)))
         }
         Ok(Err(error)) => {
             if state.log.try_admit() {
                 let id = text(&ask.id);
                 tracing::warn!(event = 602, %id, %error, "request's body broke off");
             }
-            Err((ask.id, Refusal::never(Cause::Malformed)))
+            Err((ask.id, Refusal::permanent(Cause::Malformed)))
         }
         Err(_) => {
             let waited = now().since(began).0;
@@ -152,7 +152,7 @@
                 let id = text(&ask.id);
                 tracing::warn!(event = 603, %id, waited, "request's body is slow");
             }
-            Err((ask.id, Refusal::never(Cause::TooSlow)))
+            Err((ask.id, Refusal::permanent(Cause::TooSlow)))
         }
     }
 }
@@ -212,7 +212,7 @@
     let now = now();
     let draw = xxhash_rust::xxh3::xxh3_64(id);
     let until = deadline.unwrap_or(now + DEFAULT_DEADLINE);
-    let soon = || come_back(now, until, draw);
+    let soon = || retry_delay(now, until, draw);
     let wait = refusal.again.then(|| refusal.after.unwrap_or_else(soon));
     state.metrics.count("refusals", &refusal.cause.to_string());
     if state.log.try_admit() {
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -3,7 +3,7 @@
 
 use toucanturn_core::{
     gateway::{
-        Change, News,
+        Change, RegistryEvent,
         mirror::{
             Delta,
             Mirror,
@@ -89,7 +89,7 @@
         );
         return;
     }
-    state.gateway.borrow_mut().proved(now(), read);
+    state.gateway.borrow_mut().record_registry_read(now(), read);
     let records = apply_delta(&mut state.mirror.borrow_mut(), delta);
     let mut changes = Vec::new();
     for record in &records {
@@ -114,7 +114,7 @@
 fn apply_changes(state: &Shared, changes: Vec<Change>) {
     let news = state.gateway.borrow_mut().follow(now(), changes);
     for news in news {
-        if let News::Applied { version } = news
+        if let RegistryEvent::Applied { version } = news
             && let Some(catalog) = state.gateway.borrow().catalog()
         {
             state.remember(version, catalog.secret);
@@ -124,12 +124,12 @@
 }
 
 /// Logs a change of the configuration, a data centre or an endpoint.
-pub(crate) fn log(news: &News) {
+pub(crate) fn log(news: &RegistryEvent) {
     match news {
-        News::Applied { version } => {
+        RegistryEvent::Applied { version } => {
             tracing::info!(event = 653, version, "configuration in force");
         }
-        News::Older { version, held } => {
+        RegistryEvent::Older { version, held } => {
             tracing::warn!(
                 event = 654,
                 version,
@@ -137,13 +137,13 @@
                 "older configuration passed over"
             );
         }
-        News::Evacuated { data_center } => {
+        RegistryEvent::Evacuated { data_center } => {
             tracing::warn!(event = 660, data_center = %text(data_center), "data centre evacuated");
         }
-        News::Restored { data_center } => {
+        RegistryEvent::Restored { data_center } => {
             tracing::info!(event = 661, data_center = %text(data_center), "data centre restored");
         }
-        News::Endpoint { id, state } => {
+        RegistryEvent::Endpoint { id, state } => {
             tracing::info!(event = 655, endpoint = %text(id), %state, "endpoint changed");
         }
     }
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -58,9 +58,9 @@
         let targets = mesh.round(at, draw);
         let reads = state.reads.get();
         let samples = gateway.samples();
-        let (reports, crashes) = gateway.observed(at, draw);
+        let (reports, crashes) = gateway.digest_contents(at, draw);
         gateway.fleet(at, mesh.size(at));
-        gateway.follow_fleet(at, &mesh.fleet(at));
+        gateway.update_fleet(at, &mesh.fleet(at));
         let seal_for = |target| {
             let digest = Digest {
                 samples: samples.clone(),
@@ -91,7 +91,7 @@
                 gateway.crashed(now(), &digest.crashes);
                 // Samples name services by index, which is valid for one configuration version only.
                 if gateway.catalog().is_some_and(|c| c.version == epoch) {
-                    gateway.sampled(now(), &digest.samples);
+                    gateway.record_peer_samples(now(), &digest.samples);
                 }
             }
             state
--- a/crates/gateway/src/proxied.rs
+++ b/crates/gateway/src/proxied.rs
@@ -152,7 +152,7 @@
     /// hashed, as bodies may be large.
     fn identify(&mut self) {
         let known = self.ticket.content.is_some();
-        if !known && self.state.gateway.borrow().watches(&self.ticket) {
+        if !known && self.state.gateway.borrow().has_suspects(&self.ticket) {
             self.fingerprint();
         }
     }
@@ -421,7 +421,7 @@
             Fate::Broken if self.ticket.content.is_none() => self.fingerprint(),
             Fate::Answered | Fate::Failed => {
                 let mut gateway = self.state.gateway.borrow_mut();
-                gateway.remember(now(), &self.content());
+                gateway.record_complete_answer(now(), &self.content());
             }
             _ => {}
         }
--- a/crates/replay/src/lab/fleet.rs
+++ b/crates/replay/src/lab/fleet.rs
@@ -287,7 +287,7 @@
                     Next::Arrive(number, engine) => self.arrive(now, number, engine),
                     Next::Hear(who, reports, samples, records) => {
                         self.routers[who].record_peer_report(Time(now), &reports);
-                        self.routers[who].sampled(Time(now), &samples);
+                        self.routers[who].record_peer_samples(Time(now), &samples);
                         self.routers[who].crashed(Time(now), &records);
                     }
                     Next::Broke(number) => self.broke(now, number),
@@ -308,7 +308,7 @@
         let who = self.rng.random_range(0..self.routers.len());
         let router = &mut self.routers[who];
         let at = Time(now);
-        router.proved(at, at);
+        router.record_registry_read(at, at);
         let request = &mut self.requests[number];
         let Ok(mut ticket) = router.admit(at, &request.ask) else {
             return;
@@ -487,7 +487,7 @@
             let router = &mut self.routers[who];
             router.fleet(Time(now), u32::try_from(routers).unwrap_or(u32::MAX));
             router.tick(Time(now));
-            let (reports, records) = router.observed(Time(now), now);
+            let (reports, records) = router.digest_contents(Time(now), now);
             debug_assert!(reports.len() <= MAX_REPORTS);
             let samples = router.samples();
             for _ in 0..FANOUT {
@@ -536,7 +536,7 @@
     let mut gateway = Gateway::new(bounds, seed);
     let mut changes = vec![Change::Catalog(Box::new(catalog()))];
     changes.extend((0..sheet.engines).map(|n| Change::Entry(entry(sheet, n, 0))));
-    gateway.proved(Time(now), Time(now));
+    gateway.record_registry_read(Time(now), Time(now));
     gateway.follow(Time(now), changes);
     gateway.fleet(Time(now), u32::try_from(sheet.routers).unwrap_or(u32::MAX));
     gateway
