--- a/crates/core/examples/measure_fingerprint.rs
+++ b/crates/core/examples/measure_fingerprint.rs
@@ -37,7 +37,7 @@
 
 fn main() {
     for size in [0, 1 << 10, 20 << 10, 64 << 10] {
-        measure("quick", size, |content| fingerprint::quick(1, content));
+        measure("quick", size, |content| fingerprint::keyed_hash(1, content));
         measure("told", size, |content| Fingerprint::of(content).content);
     }
 }
--- a/crates/core/src/gateway/ask.rs
+++ b/crates/core/src/gateway/ask.rs
@@ -1,77 +1,79 @@
-//! One request as the gateway's decisions see it, whichever interface it came by.
+//! The properties of a request that the gateway's decisions depend on, the same for all API
+//! dialects.
 
 use bytes::Bytes;
 
 use crate::units::Millis;
 
-/// Tokens that an engine writes in the time until the first one of an answer.
-const BEGINNING: u32 = 12;
+/// Tokens that an engine generates in the time that the first token of an answer takes.
+const FIRST_TOKEN_COST: u32 = 12;
 
-/// `Ask` is one checked request.
+/// `Ask` is one parsed request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ask {
-    /// Identity of this attempt of the caller; no other has it.
+    /// Id of this request, unique for each time that the caller sends it.
     pub id: Bytes,
     /// Host that it names, in lower case and without a port.
     pub host: Bytes,
-    /// Path as it came, without the query.
+    /// Path as received, without the query.
     pub path: Bytes,
-    /// Key that tells the workspace.
+    /// API key, which identifies the workspace.
     pub key: Option<Bytes>,
-    /// How long the caller waits, from when the request's head came.
+    /// How long the caller waits, from the arrival of the request's head.
     pub deadline: Option<Millis>,
-    /// How long ago that was.
+    /// How long ago the request's head arrived.
     pub waited: Millis,
-    /// Prompt of a generation.
+    /// Prompt, if the request asks for text generation.
     pub prompt: Option<Prompt>,
-    /// Caller's estimate of the output, in tokens.
+    /// Caller's estimate of the output length in tokens.
     pub hint: Option<u32>,
-    /// Last event that the caller already has of this stream.
+    /// Id of the last event of the stream that the caller already has.
     pub resume: Option<u64>,
 }
 
-/// `Prompt` is what a generation reads, and how much it may write.
+/// `Prompt` is the prompt of a generation request, with the limit of its output.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Model that generates.
+    /// Name of the model.
     pub model: Bytes,
-    /// Parts in order; the last one belongs to the request or its session.
+    /// Parts in order; the last one is specific to the request or its session.
     pub parts: Box<[Part]>,
     /// Tokens of the prompt.
     pub input: u32,
-    /// Most tokens of the output.
+    /// Most tokens that may be generated.
     pub output: u32,
 }
 
 /// `Part` is a piece of a prompt that other prompts may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Hash of its identity.
+    /// Hash that identifies it.
     pub id: u64,
-    /// Its tokens.
+    /// Its length in tokens.
     pub tokens: u32,
 }
 
 impl Ask {
-    /// Estimates how long an engine has it, in tokens that it writes: the caller's estimate of the
-    /// output or, without one, the most that it may have, and what begins any answer.
+    /// Estimates how long the request occupies an engine, measured in generated tokens: the
+    /// caller's estimate of the output length, or without one its limit, plus the cost of the first
+    /// token.
     pub fn work(&self) -> u32 {
         let most = self.prompt.as_ref().map_or(0, |p| p.output);
         let output = self.hint.map_or(most, |hint| hint.min(most.max(1)));
-        output.saturating_add(BEGINNING)
+        output.saturating_add(FIRST_TOKEN_COST)
     }
 }
 
 impl Prompt {
-    /// Gets the longest chain of parts that other prompts may share: all but the last.
+    /// Gets the parts that other prompts may share: all but the last.
     pub fn shared(&self) -> &[Part] {
         let rest = self.parts.len().saturating_sub(1);
         &self.parts[..rest]
     }
 
-    /// Gets the part that decides where the prompt is likely to be cached: the last shared one, as
-    /// all before it are then cached as well.
-    pub fn anchor(&self) -> Option<Part> {
+    /// Gets the part that decides where the request is placed: the last shared one, because an
+    /// engine that has cached it has also cached all parts before it.
+    pub fn placement_part(&self) -> Option<Part> {
         self.shared().last().or(self.parts.last()).copied()
     }
 }
--- a/crates/core/src/gateway/attempt.rs
+++ b/crates/core/src/gateway/attempt.rs
@@ -12,7 +12,7 @@
             self,
             Ask, //
         },
-        budget::Budget,
+        budget::RetryBudget,
         catalog::Workspace,
         endpoint,
         fate::{
@@ -50,8 +50,8 @@
 /// Multiple of a route's longest on-time pause after which a stream without a further event is
 /// given up.
 const STALL_PAUSE_MULTIPLE: u64 = 4;
-/// Shortest time without a sign of life after which an endpoint is given up. A shorter one would
-/// give up busy endpoints as hanging.
+/// Shortest time after which an endpoint that sends nothing is given up. A shorter one would give up
+/// busy endpoints as hanging.
 const MIN_SILENCE_TIMEOUT: Millis = Millis(600);
 
 /// Unreachable endpoints after which a request is given up, because each costs a connect timeout.
@@ -139,7 +139,7 @@
             .and_then(|w| w.priority)
             .unwrap_or(route.priority);
         let window = self.bounds.retry.window;
-        self.budget(&service).first(now, window);
+        self.budget(&service).record_request(now, window);
         Ok(Ticket {
             service,
             workspace,
@@ -173,9 +173,9 @@
         }
         self.check_quarantine(now, ticket)?;
         let draw = self.draw();
-        let part = ask.prompt.as_ref().and_then(ask::Prompt::anchor);
-        let first = ticket.tried.is_empty() && ticket.unreached.is_empty();
-        if let Some(part) = part.filter(|_| first) {
+        let part = ask.prompt.as_ref().and_then(ask::Prompt::placement_part);
+        let is_first = ticket.tried.is_empty() && ticket.unreached.is_empty();
+        if let Some(part) = part.filter(|_| is_first) {
             self.record_request_sample(now, &ticket.service, hot_spots::tag(part.id), ask.work());
         }
         if self.warmup.has_cold_endpoints() {
@@ -216,7 +216,7 @@
         let engines_share = self
             .catalog
             .as_ref()
-            .is_some_and(|c| c.shares(&ticket.service));
+            .is_some_and(|c| c.engines_share_cache(&ticket.service));
         Ok(place::Placed {
             holder: placed.holder.filter(|_| engines_share),
             ..placed
@@ -245,14 +245,14 @@
     /// was answered completely through this router before.
     pub fn identify(&mut self, now: Time, content: &Content<'_>) -> Fingerprint {
         let request = Fingerprint::of(content);
-        let hash = fingerprint::quick(self.seed, content);
+        let hash = fingerprint::keyed_hash(self.seed, content);
         self.quarantine.apply_remembered_answer(now, request, hash);
         request
     }
 
     /// Notes that a request with this content was answered completely.
     pub fn record_complete_answer(&mut self, now: Time, content: &Content<'_>) {
-        let hash = fingerprint::quick(self.seed, content);
+        let hash = fingerprint::keyed_hash(self.seed, content);
         self.quarantine.record_complete_answer(now, hash);
     }
 
@@ -279,7 +279,12 @@
         let endpoint = self.registry.get(endpoint);
         self.proof.covers_evacuations(now, &self.bounds)
             && endpoint.is_some_and(|e| {
-                e.usable() && e.recently_confirmed(now, self.proof.read(), self.bounds.staying)
+                e.usable()
+                    && e.recently_confirmed(
+                        now,
+                        self.proof.read(),
+                        self.bounds.max_confirmation_age,
+                    )
             })
     }
 
@@ -313,9 +318,9 @@
         self.registry.record_load(now, endpoint, load);
     }
 
-    /// Gets how long an endpoint may show no sign of life before another one is tried; `begun`
-    /// tells whether a part of the answer has arrived. `None` if no other attempt could follow, so
-    /// that the router keeps waiting.
+    /// Gets how long an endpoint may send nothing before another one is tried; `begun` tells whether
+    /// a part of the answer has arrived. `None` if no other attempt could follow, so that the router
+    /// keeps waiting.
     pub fn silence_timeout(&mut self, now: Time, ticket: &Ticket, begun: bool) -> Option<Millis> {
         let route = &ticket.route;
         if !route.kind.repeatable() || ticket.attempts() >= route.attempts {
@@ -395,12 +400,12 @@
         if matches!(fate, Fate::Answered | Fate::Left) {
             return Next::Deliver;
         }
-        let open = now < ticket.until && ticket.attempts() < ticket.route.attempts;
-        let free = fate == Fate::NotSent && ticket.tried.is_empty();
+        let may_continue = now < ticket.until && ticket.attempts() < ticket.route.attempts;
+        let costs_no_retry = fate == Fate::NotSent && ticket.tried.is_empty();
         let allowed = fate.repeatable(ticket.route.kind)
             && (!ticket.may_have_run || ticket.route.kind.repeatable());
-        let open = open && allowed && ticket.unreached.len() < MAX_UNREACHED;
-        if open && (free || self.reserve_retry(now, ticket)) {
+        let may_continue = may_continue && allowed && ticket.unreached.len() < MAX_UNREACHED;
+        if may_continue && (costs_no_retry || self.reserve_retry(now, ticket)) {
             Next::Again
         } else {
             Next::GiveUp
@@ -413,13 +418,13 @@
     fn reserve_retry(&mut self, now: Time, ticket: &mut Ticket) -> bool {
         if !ticket.retry_reserved && self.may_retry(now, &ticket.service) {
             let window = self.bounds.retry.window;
-            self.budget(&ticket.service).repeat(now, window);
+            self.budget(&ticket.service).record_retry(now, window);
             ticket.retry_reserved = true;
         }
         ticket.retry_reserved
     }
 
-    fn budget(&mut self, service: &Bytes) -> &mut Budget {
+    fn budget(&mut self, service: &Bytes) -> &mut RetryBudget {
         self.budgets.entry(service.clone()).or_default()
     }
 
--- a/crates/core/src/gateway/budget.rs
+++ b/crates/core/src/gateway/budget.rs
@@ -1,4 +1,5 @@
-//! How many repeated attempts a service may get: a share of its requests, over a sliding window.
+//! The retry budget of a service: retries are limited to a share of its requests over a sliding
+//! window.
 
 use std::collections::VecDeque;
 
@@ -8,69 +9,69 @@
     Time, //
 };
 
-/// Length of one counter of the window.
-const STEP: Millis = Millis(500);
+/// Length of the interval that one counter of the window covers.
+const COUNTER_INTERVAL: Millis = Millis(500);
 
-/// `Policy` bounds repeats.
+/// `Policy` limits retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// Window over which both are counted.
+    /// Window over which requests and retries are counted.
     pub window: Millis,
-    /// Repeats allowed, as a share of this router's requests in the window.
+    /// Allowed retries, as a share of this router's requests in the window.
     pub share: Permille,
-    /// Repeats allowed besides, at all routers together.
+    /// Retries allowed in addition, for all routers together.
     pub fleet: u32,
-    /// This router's part of them.
+    /// This router's part of these additional retries.
     pub extra: u32,
 }
 
-/// `Budget` counts one service's requests and repeats at this router.
+/// `RetryBudget` counts the requests and retries of one service at this router.
 ///
 /// # Invariants
 ///
-/// Counters are in the order of their times, and none is older than the window and one step.
+/// Counters are ordered by time, and none is older than the window plus one interval.
 #[derive(Clone, Debug, Default)]
-pub struct Budget {
+pub struct RetryBudget {
     counters: VecDeque<Counter>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Counter {
     since: Time,
-    firsts: u32,
-    repeats: u32,
+    requests: u32,
+    retries: u32,
 }
 
-impl Budget {
-    /// Notes a request.
-    pub fn first(&mut self, now: Time, window: Millis) {
-        self.counter(now, window).firsts += 1;
+impl RetryBudget {
+    /// Counts a new request.
+    pub fn record_request(&mut self, now: Time, window: Millis) {
+        self.counter(now, window).requests += 1;
     }
 
-    /// Notes an attempt beyond the first of a request.
-    pub fn repeat(&mut self, now: Time, window: Millis) {
-        self.counter(now, window).repeats += 1;
+    /// Counts a retry: an attempt of a request beyond its first.
+    pub fn record_retry(&mut self, now: Time, window: Millis) {
+        self.counter(now, window).retries += 1;
     }
 
-    /// Tells whether one more repeat is within the policy.
+    /// Tells whether the policy allows one more retry.
     pub fn allows(&mut self, now: Time, policy: &Policy) -> bool {
         self.expire(now, policy.window);
-        let firsts: u32 = self.counters.iter().map(|c| c.firsts).sum();
-        let repeats: u32 = self.counters.iter().map(|c| c.repeats).sum();
-        let share = policy.share.of(u64::from(firsts));
-        u64::from(repeats) < share + u64::from(policy.extra)
+        let requests: u32 = self.counters.iter().map(|c| c.requests).sum();
+        let retries: u32 = self.counters.iter().map(|c| c.retries).sum();
+        let share = policy.share.of(u64::from(requests));
+        u64::from(retries) < share + u64::from(policy.extra)
     }
 
     fn counter(&mut self, now: Time, window: Millis) -> &mut Counter {
         self.expire(now, window);
         let fresh = Counter {
             since: now,
-            firsts: 0,
-            repeats: 0,
+            requests: 0,
+            retries: 0,
         };
         let current = self
             .counters
-            .pop_back_if(|c| now.since(c.since) < STEP)
+            .pop_back_if(|c| now.since(c.since) < COUNTER_INTERVAL)
             .unwrap_or(fresh);
         self.counters.push_back(current);
         let last = self.counters.len() - 1;
@@ -78,8 +79,8 @@
     }
 
     fn expire(&mut self, now: Time, window: Millis) {
-        while let Some(first) = self.counters.front() {
-            if now.since(first.since) <= window + STEP {
+        while let Some(oldest) = self.counters.front() {
+            if now.since(oldest.since) <= window + COUNTER_INTERVAL {
                 break;
             }
             self.counters.pop_front();
--- a/crates/core/src/gateway/catalog.rs
+++ b/crates/core/src/gateway/catalog.rs
@@ -1,4 +1,4 @@
-//! The published configuration of a gateway, checked.
+//! The published configuration of a gateway, validated.
 
 use std::sync::Arc;
 
@@ -17,69 +17,69 @@
 /// Most attempts that a route may allow.
 const MAX_ATTEMPTS: u32 = 16;
 
-/// `Raw` is a configuration as it was published, its words decoded.
+/// `RawCatalog` is a configuration as it was published: decoded, but not validated.
 #[derive(Clone, Debug, Default)]
-pub struct Raw {
-    /// Its version; later ones are greater.
+pub struct RawCatalog {
+    /// Version; newer configurations have greater ones.
     pub version: u64,
     /// Routes.
     pub routes: Vec<Route>,
     /// Services.
     pub services: Vec<Service>,
-    /// Workspaces; none means that no key is asked for.
+    /// Workspaces with their API keys; if there are none, requests need no key.
     pub workspaces: Vec<(Workspace, Vec<Bytes>)>,
-    /// What callers may send.
+    /// Limits of what callers may send.
     pub limits: Limits,
-    /// Hash of the whole document, which holds every key and is known to operators and routers
-    /// alone. Routers authenticate each other with it.
+    /// Hash of the whole document, which holds every API key and is known only to operators and
+    /// routers. Routers authenticate each other with it.
     pub secret: [u8; 32],
 }
 
 /// `Service` is one published service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// Its name.
+    /// Name.
     pub name: Bytes,
-    /// Path that answers whether an endpoint is healthy.
+    /// Path of the health check of its endpoints.
     pub health: Bytes,
-    /// Connections that each endpoint takes from all routers together.
+    /// Connections that each endpoint accepts from all routers together.
     pub connections: u32,
-    /// What its engines are, where it is served by engines.
+    /// Its inference engines, if it is served by such.
     pub engine: Option<Engine>,
-    /// What its endpoints tolerate after their start, where that is bounded.
+    /// Request rate that a cold endpoint tolerates, if that is limited.
     pub warmup: Option<warmup::ColdStart>,
 }
 
-/// `Engine` describes the engines of a service.
+/// `Engine` describes the inference engines of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Engine {
-    /// Requests that one runs at once.
+    /// Requests that one engine runs concurrently.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Tokens that the cache of one engine holds.
     pub memory: u64,
-    /// Whether engines hand what they have read on to each other.
+    /// Whether engines can copy cached prompt parts from each other.
     pub shares: bool,
 }
 
 /// `Workspace` is one published workspace.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Workspace {
-    /// Its name.
+    /// Name.
     pub name: Bytes,
-    /// Rank of its requests, if it has one of its own.
+    /// Priority of its requests, overriding that of the route.
     pub priority: Option<u8>,
 }
 
-/// `Limits` is what callers may send.
+/// `Limits` bounds what callers may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Most bytes of a request's head.
     pub head: usize,
     /// Most bytes of a request's body.
     pub body: usize,
-    /// Longest time for a request's head.
+    /// Longest time until a request's head is complete.
     pub head_time: Millis,
-    /// Longest time that a connection stays idle.
+    /// Longest time that a connection may stay idle.
     pub idle: Millis,
 }
 
@@ -94,60 +94,60 @@
     }
 }
 
-/// `Error` says why a configuration is refused whole.
+/// `Error` says why a configuration is rejected as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// Two things have one name.
+    /// Two items have the same name.
     #[snafu(display("expected one {what} named {name:?}, found more"))]
-    Twice {
-        /// What is there twice.
+    Duplicate {
+        /// Kind of the item.
         what: &'static str,
-        /// Its name.
+        /// Name of the item.
         name: Bytes,
     },
-    /// A prefix is not between slashes.
+    /// The path prefix of a route does not begin and end with a slash.
     #[snafu(display("expected route {name:?} to have a path prefix between slashes"))]
     Prefix {
-        /// The route.
+        /// Name of the route.
         name: Bytes,
     },
-    /// A route goes nowhere.
+    /// No service of a route has a weight above 0.
     #[snafu(display("expected route {name:?} to go to a service with a weight above 0"))]
-    Nowhere {
-        /// The route.
+    NoTarget {
+        /// Name of the route.
         name: Bytes,
     },
     /// A route names a service that is not published.
     #[snafu(display("expected service {service:?} of route {name:?} to be published"))]
     Service {
-        /// The route.
+        /// Name of the route.
         name: Bytes,
-        /// The service.
+        /// Name of the service.
         service: Bytes,
     },
-    /// A number is out of bounds.
+    /// A number is out of range.
     #[snafu(display("expected {what} of {name:?} to be above 0 and in bounds"))]
     Number {
-        /// What.
+        /// Which number.
         what: &'static str,
-        /// Whose.
+        /// Name of the item that it belongs to.
         name: Bytes,
     },
 }
 
-/// `Catalog` is a checked configuration.
+/// `Catalog` is a validated configuration.
 ///
 /// # Invariants
 ///
-/// Each route goes to published services, has at least one attempt and a time limit, and shares its
-/// host and prefix with no other.
+/// Each route goes to published services, allows at least one attempt, has a time limit above 0,
+/// and is the only one with its host and prefix.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
-    /// Its version.
+    /// Version.
     pub version: u64,
-    /// What callers may send.
+    /// Limits of what callers may send.
     pub limits: Limits,
-    /// Secret that routers which hold this configuration share.
+    /// Secret shared by the routers that hold this configuration.
     pub secret: [u8; 32],
     hosts: IndexMap<Bytes, IndexMap<Bytes, Arc<Route>>>,
     services: IndexMap<Bytes, Service>,
@@ -156,7 +156,7 @@
 }
 
 impl Catalog {
-    /// Finds the route of a host's path: the one with the longest prefix.
+    /// Finds the route for a host and path: the one with the longest matching prefix.
     pub fn route(&self, host: &[u8], path: &[u8]) -> Option<&Arc<Route>> {
         let prefixes = self.hosts.get(host)?;
         let slashes = path.iter().enumerate().rev().filter(|(_, b)| **b == b'/');
@@ -165,44 +165,44 @@
             .find_map(|prefix| prefixes.get(prefix))
     }
 
-    /// Finds the workspace that holds a key.
+    /// Finds the workspace that an API key belongs to.
     pub fn holder(&self, key: &[u8]) -> Option<Arc<Workspace>> {
         self.keys.get(key).cloned()
     }
 
-    /// Tells whether there are workspaces, so that requests need keys.
+    /// Tells whether any workspaces are published, so that requests need keys.
     pub fn has_workspaces(&self) -> bool {
         self.has_workspaces
     }
 
-    /// Gets the index of a service, by which routers with this configuration name it to each other.
+    /// Gets the index of a service, which identifies it among routers with the same configuration.
     pub fn index_of(&self, service: &[u8]) -> Option<u32> {
         let index = self.services.get_index_of(service)?;
         u32::try_from(index).ok()
     }
 
-    /// Gets the name of the service with an index.
+    /// Gets the name of the service with this index.
     pub fn name_at(&self, index: u32) -> Option<&Bytes> {
         let index = usize::try_from(index).ok()?;
         self.services.get_index(index).map(|(name, _)| name)
     }
 
-    /// Gets a service.
+    /// Finds a service by its name.
     pub fn service(&self, name: &[u8]) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// Tells whether a service's engines hand what they have read on to each other.
-    pub fn shares(&self, service: &[u8]) -> bool {
+    /// Tells whether the engines of a service can copy cached prompt parts from each other.
+    pub fn engines_share_cache(&self, service: &[u8]) -> bool {
         let engine = self.services.get(service).and_then(|s| s.engine);
         engine.is_some_and(|e| e.shares)
     }
 }
 
-impl TryFrom<Raw> for Catalog {
+impl TryFrom<RawCatalog> for Catalog {
     type Error = Error;
 
-    fn try_from(raw: Raw) -> Result<Self, Error> {
+    fn try_from(raw: RawCatalog) -> Result<Self, Error> {
         let mut catalog = Self {
             version: raw.version,
             limits: raw.limits,
@@ -218,7 +218,7 @@
             }
             if catalog.services.insert(name.clone(), service).is_some() {
                 let what = "service";
-                return TwiceSnafu { what, name }.fail();
+                return DuplicateSnafu { what, name }.fail();
             }
         }
         for route in raw.routes {
@@ -231,7 +231,7 @@
                 if before.is_some_and(|b| b.name != workspace.name) {
                     let what = "workspace with a key of";
                     let name = workspace.name.clone();
-                    return TwiceSnafu { what, name }.fail();
+                    return DuplicateSnafu { what, name }.fail();
                 }
             }
         }
@@ -245,7 +245,7 @@
         let bounded = route.prefix.starts_with(b"/") && route.prefix.ends_with(b"/");
         snafu::ensure!(bounded, PrefixSnafu { name });
         let weight: u64 = route.shares.iter().map(|s| u64::from(s.weight)).sum();
-        snafu::ensure!(weight > 0, NowhereSnafu { name });
+        snafu::ensure!(weight > 0, NoTargetSnafu { name });
         let what = "attempts";
         let attempts = (1..=MAX_ATTEMPTS).contains(&route.attempts);
         snafu::ensure!(attempts, NumberSnafu { what, name });
@@ -259,7 +259,7 @@
         let prefixes = self.hosts.entry(route.host.clone()).or_default();
         let before = prefixes.insert(route.prefix.clone(), Arc::new(route));
         let what = "route";
-        snafu::ensure!(before.is_none(), TwiceSnafu { what, name });
+        snafu::ensure!(before.is_none(), DuplicateSnafu { what, name });
         Ok(())
     }
 }
--- a/crates/core/src/gateway/fate.rs
+++ b/crates/core/src/gateway/fate.rs
@@ -1,40 +1,41 @@
-//! What is known of an attempt once it has ended. Retries, refusals and statuses follow from it
-//! alone.
+//! Outcomes of attempts. Retries, refusals and status codes depend on nothing else about an
+//! attempt.
 
 use crate::gateway::{
     refusal::Cause,
     route::Kind, //
 };
 
-/// `Fate` is what became of one attempt.
+/// `Fate` is the outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Fate {
-    /// No byte of it left this router.
+    /// No byte of the request left this router.
     NotSent,
-    /// The endpoint said that it did not run it and will not.
+    /// The endpoint rejected the request: it did not run it and will not.
     Rejected,
-    /// The endpoint said that it is another one than the request was meant for; it did not run.
+    /// The endpoint answered that it is not the one that the request was meant for; it did not run
+    /// it.
     Misdirected,
-    /// The endpoint answered with an error of its own after it ran.
+    /// The endpoint ran the request and answered with an error of its own.
     Failed,
-    /// Bytes may have reached the endpoint and no whole answer of its own came back.
+    /// Bytes may have reached the endpoint, and no complete answer of its own came back.
     Broken,
-    /// The endpoint gave no sign of life for so long that it was given up; it may have run.
+    /// The endpoint sent nothing until the silence time-out; it may have run the request.
     Stalled,
-    /// The whole answer came.
+    /// The complete answer arrived.
     Answered,
-    /// The caller left before the answer was whole.
+    /// The caller left before the answer was complete.
     Left,
 }
 
 impl Fate {
-    /// Tells whether the endpoint may have run the attempt.
+    /// Tells whether the endpoint may have run the request.
     pub const fn may_have_run(self) -> bool {
         !matches!(self, Fate::NotSent | Fate::Rejected | Fate::Misdirected)
     }
 
-    /// Tells whether another attempt of a request of `kind` may follow.
+    /// Tells whether another attempt may follow for a request of this kind.
     pub const fn repeatable(self, kind: Kind) -> bool {
         match self {
             Fate::NotSent | Fate::Rejected | Fate::Misdirected => true,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Gets what a caller is told when no attempt follows this end.
+    /// Gets the cause that the caller is told if no other attempt follows.
     pub const fn cause(self) -> Cause {
         match self {
             Fate::Stalled => Cause::Deadline,
@@ -53,14 +54,14 @@
     }
 }
 
-/// `Next` is what follows an attempt's end.
+/// `Next` is what follows the end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Next {
-    /// The caller has its answer.
+    /// The answer is delivered to the caller.
     Deliver,
     /// Another attempt is made.
     Again,
-    /// The caller is told that it failed.
+    /// The request is given up, and the caller gets a refusal.
     GiveUp,
 }
--- a/crates/core/src/gateway/fingerprint.rs
+++ b/crates/core/src/gateway/fingerprint.rs
@@ -1,7 +1,7 @@
-//! Which requests have the same content, whatever their ids.
+//! Fingerprints of request contents, to recognise requests that are sent again.
 //!
-//! A caller's repeat has a new id. What makes it the same request is its workspace, method, host, path with
-//! query, and body.
+//! A caller that retries uses a new request id. Two requests count as the same if their workspace,
+//! method, host, path with query, and body are equal.
 
 use std::fmt;
 
@@ -14,33 +14,34 @@
 
 use crate::ids::Tag;
 
-/// `Content` is what a request's fingerprint is made of.
+/// `Content` is the input of a request's fingerprint.
 #[derive(Clone, Copy, Debug)]
 pub struct Content<'a> {
-    /// Workspace that sent it; `None` on routes open to everybody.
+    /// Workspace that sent it; `None` if it came without a known key on a route that needs none.
     pub workspace: Option<&'a Bytes>,
     /// Method, host, path with query, and body.
     pub parts: [&'a [u8]; 4],
 }
 
-/// `Fingerprint` names a request's content.
+/// `Fingerprint` identifies a request's content.
 ///
-/// The workspace's tag is a part of its own: no content that one workspace chooses has the fingerprint of
-/// another one's.
+/// The workspace's tag is a separate field, so that no workspace can construct a content with the
+/// fingerprint of another workspace's content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Fingerprint {
-    /// Tag of the workspace; 0 on routes open to everybody.
+    /// Tag of the workspace; 0 if there is none.
     pub workspace: u32,
-    /// The first 64 bits of the content's SHA-256.
+    /// First 64 bits of the SHA-256 hash of the content.
     pub content: u64,
 }
 
 impl Fingerprint {
-    /// Gets the fingerprint of a content.
+    /// Computes the fingerprint of a content.
     pub fn of(content: &Content<'_>) -> Self {
         let mut hash = Sha256::new();
         for part in content.parts {
-            // Without the lengths, bytes could move from one part to the next unseen.
+            // Without the lengths, contents that divide the same bytes differently would have equal
+            // fingerprints.
             hash.update((part.len() as u64).to_le_bytes());
             hash.update(part);
         }
@@ -52,13 +53,14 @@
     }
 }
 
-/// Gets the part of fingerprints that tells the workspace.
+/// Gets the workspace tag of fingerprints.
 pub fn workspace(name: Option<&Bytes>) -> u32 {
     name.map_or(0, |name| Tag::of(name).0)
 }
 
-/// Gets a quick hash of a content for this process alone, which has a `seed` that nobody else knows.
-pub fn quick(seed: u64, content: &Content<'_>) -> u64 {
+/// Computes a fast hash of a content for use in this process only; `seed` is random and known to no
+/// other process.
+pub fn keyed_hash(seed: u64, content: &Content<'_>) -> u64 {
     let mut hash = Xxh3::with_seed(seed);
     hash.update(&workspace(content.workspace).to_le_bytes());
     for part in content.parts {
--- a/crates/core/src/gateway/mod.rs
+++ b/crates/core/src/gateway/mod.rs
@@ -56,7 +56,7 @@
     RegistryEvent, //
 };
 
-use budget::Budget;
+use budget::RetryBudget;
 use catalog::Catalog;
 use hot_spots::HotSpots;
 use mesh::Sample;
@@ -82,7 +82,7 @@
     last_tick: Time,
     /// Time of the first tick after the process was suspended.
     resumed_at: Time,
-    budgets: IndexMap<Bytes, Budget>,
+    budgets: IndexMap<Bytes, RetryBudget>,
     hot_spots: IndexMap<Bytes, HotSpots>,
     /// Newest requests that this router's peers have not been told of, oldest first.
     samples: VecDeque<Sample>,
--- a/crates/core/src/gateway/place.rs
+++ b/crates/core/src/gateway/place.rs
@@ -94,7 +94,11 @@
 impl PlacementContext<'_> {
     fn is_confirmed(&self, endpoint: &Endpoint) -> bool {
         self.proof.covers_evacuations(self.now, self.bounds)
-            && endpoint.recently_confirmed(self.now, self.proof.read(), self.bounds.staying)
+            && endpoint.recently_confirmed(
+                self.now,
+                self.proof.read(),
+                self.bounds.max_confirmation_age,
+            )
     }
 
     fn cold(&self, endpoint: &Endpoint) -> bool {
@@ -156,8 +160,8 @@
         unpaused
     };
     let mean = ServiceMean::of(context, &all);
-    let anchor = prompt.and_then(Prompt::anchor);
-    match anchor {
+    let placement_part = prompt.and_then(Prompt::placement_part);
+    match placement_part {
         Some(part) => {
             let placed = by_affinity(context, candidates, part.id, mean)?;
             let holder = holder(context, ticket, part.id, placed.endpoint);
--- a/crates/core/src/gateway/route.rs
+++ b/crates/core/src/gateway/route.rs
@@ -1,20 +1,21 @@
-//! Routes: which service a request goes to, and what may be done with it.
+//! Routes: which services a request may go to, and whether it may be retried.
 
 use bytes::Bytes;
 
 use crate::units::Millis;
 
-/// `Kind` says what may be repeated.
+/// `Kind` says whether requests of a route may be retried, and whether they are answered by
+/// streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Kind {
-    /// Idempotent: it may run more than once.
+    /// Idempotent requests: one may run more than once.
     Repeatable,
-    /// It runs at most once for each attempt of the caller.
+    /// Non-idempotent requests: one runs at most once for each time that the caller sends it.
     Once,
-    /// A stream of events.
+    /// Requests that are answered by a stream of events.
     Stream {
-        /// Whether another endpoint may go on after the last event.
+        /// Whether another endpoint can resume a stream after the last event.
         resumable: bool,
     },
 }
@@ -31,44 +32,44 @@
     }
 }
 
-/// `Share` is a service's part of a route.
+/// `Share` is one service of a route, with its share of the requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
     /// Name of the service.
     pub service: Bytes,
-    /// Its weight among the route's shares.
+    /// Weight relative to the route's other services.
     pub weight: u32,
 }
 
 /// `Route` is one published route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Its name.
+    /// Name.
     pub name: Bytes,
-    /// Host, in lower case.
+    /// Host that it matches, in lower case.
     pub host: Bytes,
-    /// Prefix of the path; begins and ends with a slash.
+    /// Path prefix that it matches; begins and ends with a slash.
     pub prefix: Bytes,
-    /// What may be repeated.
+    /// Whether requests may be retried.
     pub kind: Kind,
-    /// Services that it goes to.
+    /// Services that requests go to, with their weights.
     pub shares: Vec<Share>,
     /// Longest time until the final answer.
     pub limit: Millis,
     /// Time within which an answer is on time.
     pub goal: Millis,
-    /// Longest pause between events that is still on time; zero where none is published.
+    /// Longest on-time pause between the events of a stream; zero if none is published.
     pub pause: Millis,
     /// Most endpoints that one request is sent to.
     pub attempts: u32,
-    /// Rank under overload; 0 goes first.
+    /// Priority under overload; 0 is the most urgent.
     pub priority: u8,
-    /// Whether it needs no key.
+    /// Whether requests need no API key.
     pub anonymous: bool,
 }
 
 impl Route {
-    /// Gets the service for a random `draw`, by the weights of the shares.
+    /// Picks a service at random by `draw`, in proportion to the weights.
     pub fn service(&self, draw: u64) -> Option<Bytes> {
         let total: u64 = self.shares.iter().map(|s| u64::from(s.weight)).sum();
         let mut left = draw.checked_rem(total)?;
--- a/crates/core/src/gateway/settings.rs
+++ b/crates/core/src/gateway/settings.rs
@@ -1,4 +1,4 @@
-//! The bounds that a gateway keeps, in the product's own terms.
+//! Time bounds and policies of a gateway, as its settings define them.
 
 use crate::{
     gateway::{
@@ -13,40 +13,44 @@
     },
 };
 
-/// `Bounds` is what the place where it runs asks of a gateway.
+/// `Bounds` is the time bounds and policies that a gateway follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Greatest age of the newest proof on which keys, and the routes with them, are acted on.
+    /// Greatest age of the last registry read up to which API keys and routes are used.
     pub keys: Millis,
-    /// The same for routes once the registry has said that it holds something newer.
+    /// Greatest age of the last registry read up to which routes are used while the registry is
+    /// known to hold newer state.
     pub routes: Millis,
-    /// Greatest age of the newest sign that an endpoint stays on which it gets a request.
-    pub staying: Millis,
-    /// Greatest age of the newest proof on which endpoints get requests; `None` where data centres are not evacuated.
+    /// Greatest age of the last confirmation that an endpoint is not leaving up to which it gets
+    /// requests.
+    pub max_confirmation_age: Millis,
+    /// Greatest age of the last registry read up to which endpoints get requests; `None` if data
+    /// centres are never evacuated.
     pub evacuation: Option<Millis>,
-    /// Time between reads of the registry.
-    pub read_every: Millis,
-    /// Time without an answer of the registry from which on a new one means that it was away. Copies that
-    /// come by a peer are old in calm times, too; with less, entries that leave would be taken for
-    /// lapsed, and used on.
-    pub away: Millis,
-    /// How long an entry that lapsed while the registry was away is still used after its return.
-    pub lapse: Millis,
-    /// Greatest multiple of the mean load that an endpoint may carry in calm times.
+    /// Time between registry reads.
+    pub read_interval: Millis,
+    /// Time without an answer of the registry after which the next answer ends an outage. It must
+    /// exceed the normal age of the copies that come from peers: otherwise, entries of endpoints
+    /// that leave would be taken for entries that expired during an outage, and would stay in use.
+    pub outage_threshold: Millis,
+    /// How long after the end of an outage an entry that disappeared during it is still used.
+    pub lapse_grace: Millis,
+    /// Greatest allowed load of an endpoint without faults or changes in the fleet, as a multiple of
+    /// the mean load.
     pub skew: Permille,
-    /// Bounds of repeats.
+    /// Limits of retries.
     pub retry: Policy,
     /// How many requests a cold endpoint may get.
     pub warmup: warmup::Policy,
-    /// For how long requests that crash endpoints are held back.
+    /// How long requests that crash endpoints are held back.
     pub hold: quarantine::Policy,
 }
 
 impl Bounds {
-    /// Gets how the registry is read to keep them.
+    /// Gets the read interval that these bounds need, and the age up to which a read is useful.
     pub fn pace(&self) -> ReadTiming {
         ReadTiming {
-            interval: self.read_every,
+            interval: self.read_interval,
             validity: self.routes.min(self.keys),
         }
     }
--- a/crates/core/src/gateway/updates.rs
+++ b/crates/core/src/gateway/updates.rs
@@ -100,7 +100,7 @@
     /// The time is counted up to the sending, because a read that itself took long shows no outage.
     pub fn record_registry_read(&mut self, now: Time, sent: Time) {
         let answered = self.proof.answered();
-        if answered.is_some_and(|last| sent.since(last) >= self.bounds.away) {
+        if answered.is_some_and(|last| sent.since(last) >= self.bounds.outage_threshold) {
             self.registry.registry_recovered(now);
         }
         self.proof.renew(sent);
@@ -135,7 +135,7 @@
                 }
             }
         }
-        let grace = self.bounds.lapse;
+        let grace = self.bounds.lapse_grace;
         self.registry.remove(now, &removed, grace, &mut events);
         events
     }
@@ -147,7 +147,8 @@
         }
         self.last_tick = now;
         let mut events = Vec::new();
-        self.registry.expire(now, self.bounds.lapse, &mut events);
+        self.registry
+            .expire(now, self.bounds.lapse_grace, &mut events);
         let liveness_since = |life, since| self.registry.liveness_since(life, since);
         self.quarantine
             .expire(now, self.bounds.hold, liveness_since);
@@ -214,7 +215,7 @@
         work: u32,
     ) {
         let spots = self.hot_spots.entry(service.clone()).or_default();
-        spots.note(now, part, work);
+        spots.record(now, part, work);
         let index = self.catalog.as_ref().and_then(|c| c.index_of(service));
         let Some(service) = index else {
             return;
@@ -243,7 +244,7 @@
                 .and_then(|c| c.name_at(sample.service));
             if let Some(name) = name.cloned() {
                 let spots = self.hot_spots.entry(name).or_default();
-                spots.note(now, sample.part, sample.work);
+                spots.record(now, sample.part, sample.work);
             }
         }
     }
--- a/crates/core/tests/gateway/budget.rs
+++ b/crates/core/tests/gateway/budget.rs
@@ -5,8 +5,8 @@
     gateway::{
         Gateway,
         budget::{
-            Budget,
             Policy, //
+            RetryBudget,
         },
         fate::{
             Fate,
@@ -38,13 +38,13 @@
 
 #[gtest]
 fn verify_retries_stay_within_share_and_extra() {
-    let mut budget = Budget::default();
+    let mut budget = RetryBudget::default();
     for n in 0..100 {
-        budget.first(Time(n * 10), WINDOW);
+        budget.record_request(Time(n * 10), WINDOW);
     }
     let mut allowed = 0;
     while budget.allows(Time(1000), &policy()) {
-        budget.repeat(Time(1000), WINDOW);
+        budget.record_retry(Time(1000), WINDOW);
         allowed += 1;
     }
     expect_that!(allowed, eq(20 + 3));
@@ -54,17 +54,17 @@
 /// and the counter step before it, whatever their order.
 #[gtest]
 fn verify_every_sliding_window_is_within_the_share() {
-    let mut budget = Budget::default();
+    let mut budget = RetryBudget::default();
     let (mut firsts, mut retries) = (Vec::new(), Vec::new());
     for n in 0..6000_u64 {
         let now = Time(n * 10);
         // Requests come in bursts, and all attempts fail.
         if (n / 700) % 2 == 0 || n % 17 == 0 {
-            budget.first(now, WINDOW);
+            budget.record_request(now, WINDOW);
             firsts.push(now);
         }
         if budget.allows(now, &policy()) {
-            budget.repeat(now, WINDOW);
+            budget.record_retry(now, WINDOW);
             retries.push(now);
         }
     }
@@ -83,9 +83,9 @@
 
 #[gtest]
 fn verify_requests_outside_the_window_allow_no_retries() {
-    let mut budget = Budget::default();
+    let mut budget = RetryBudget::default();
     for _ in 0..1000 {
-        budget.first(Time(0), WINDOW);
+        budget.record_request(Time(0), WINDOW);
     }
     let no_extra = Policy {
         extra: 0,
--- a/crates/core/tests/gateway/catalog.rs
+++ b/crates/core/tests/gateway/catalog.rs
@@ -7,7 +7,7 @@
         catalog::{
             Catalog,
             Error,
-            Raw,
+            RawCatalog,
             Workspace, //
         },
         route::{
@@ -25,7 +25,7 @@
     service, //
 };
 
-fn rejection(change: impl FnOnce(&mut Raw)) -> Error {
+fn rejection(change: impl FnOnce(&mut RawCatalog)) -> Error {
     let mut raw = raw_catalog(1);
     change(&mut raw);
     Catalog::try_from(raw).expect_err("the configuration is rejected")
@@ -77,11 +77,11 @@
     let engines = || service("engines");
     expect_that!(
         rejection(|raw| raw.services.push(engines())),
-        pat!(Error::Twice { .. })
+        pat!(Error::Duplicate { .. })
     );
     expect_that!(
         rejection(|raw| raw.routes.push(route("again", "/chat/", Kind::Once))),
-        pat!(Error::Twice { .. })
+        pat!(Error::Duplicate { .. })
     );
     expect_that!(
         rejection(|raw| raw.routes[0].prefix = Bytes::from_static(b"/chat")),
@@ -89,11 +89,11 @@
     );
     expect_that!(
         rejection(|raw| raw.routes[0].shares.clear()),
-        pat!(Error::Nowhere { .. })
+        pat!(Error::NoTarget { .. })
     );
     expect_that!(
         rejection(|raw| raw.routes[0].shares[0].weight = 0),
-        pat!(Error::Nowhere { .. })
+        pat!(Error::NoTarget { .. })
     );
     expect_that!(
         rejection(|raw| raw.services.clear()),
@@ -123,5 +123,5 @@
         let keys = raw.workspaces[0].1.clone();
         raw.workspaces.push((other, keys));
     });
-    expect_that!(error, pat!(Error::Twice { .. }));
+    expect_that!(error, pat!(Error::Duplicate { .. }));
 }
--- a/crates/core/tests/gateway/fixture.rs
+++ b/crates/core/tests/gateway/fixture.rs
@@ -20,7 +20,7 @@
             Catalog,
             Engine,
             Limits,
-            Raw,
+            RawCatalog,
             Service,
             Workspace, //
         },
@@ -48,11 +48,11 @@
     Bounds {
         keys: Millis(4750),
         routes: Millis(2850),
-        staying: Millis(2700),
+        max_confirmation_age: Millis(2700),
         evacuation: None,
-        read_every: Millis(666),
-        away: Millis(2500),
-        lapse: Millis(2000),
+        read_interval: Millis(666),
+        outage_threshold: Millis(2500),
+        lapse_grace: Millis(2000),
         skew: Permille(2000),
         retry: Policy {
             window: Millis(10_000),
@@ -103,12 +103,12 @@
     }
 }
 
-pub(crate) fn raw_catalog(version: u64) -> Raw {
+pub(crate) fn raw_catalog(version: u64) -> RawCatalog {
     let workspace = Workspace {
         name: Bytes::from_static(b"one"),
         priority: None,
     };
-    Raw {
+    RawCatalog {
         version,
         routes: vec![
             route("chat", "/chat/", Kind::Stream { resumable: true }),
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -212,10 +212,13 @@
             keys: proven(self.revoke_ms),
             routes: proven(self.config_ms),
             evacuation: self.evacuation_ms.map(proven),
-            staying: Millis(self.leaving_ms - self.leaving_ms / STAYING_MARGIN_DIVISOR),
-            read_every: self.read_interval(),
-            away: Millis(self.read_interval().0 * REGISTRY_AWAY_READS) + REGISTRY_AWAY_EXTRA,
-            lapse: millis(self.lapse_s),
+            max_confirmation_age: Millis(
+                self.leaving_ms - self.leaving_ms / STAYING_MARGIN_DIVISOR,
+            ),
+            read_interval: self.read_interval(),
+            outage_threshold: Millis(self.read_interval().0 * REGISTRY_AWAY_READS)
+                + REGISTRY_AWAY_EXTRA,
+            lapse_grace: millis(self.lapse_s),
             skew: Permille::from_ratio(self.skew),
             retry: Policy {
                 window: millis(self.retry_window_s),
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -25,11 +25,11 @@
     let bounds = settings.bounds.bounds();
     expect_that!(bounds.keys, eq(Millis(4750)));
     expect_that!(bounds.routes, eq(Millis(1900)));
-    expect_that!(bounds.staying, eq(Millis(1800)));
-    expect_that!(bounds.lapse, eq(Millis(2000)));
+    expect_that!(bounds.max_confirmation_age, eq(Millis(1800)));
+    expect_that!(bounds.lapse_grace, eq(Millis(2000)));
     expect_that!(settings.bounds.read_interval(), eq(Millis(666)));
     // Above the normal maximum age of a peer's copy: two read intervals and a long poll's wait.
-    expect_that!(bounds.away, gt(Millis(666 * 2 + 500)));
+    expect_that!(bounds.outage_threshold, gt(Millis(666 * 2 + 500)));
     expect_that!(bounds.retry.share.0, eq(160));
     expect_that!(bounds.hold.first, eq(Millis(5000)));
 }
--- a/crates/replay/src/lab/fleet.rs
+++ b/crates/replay/src/lab/fleet.rs
@@ -30,7 +30,7 @@
         catalog::{
             Catalog,
             Limits,
-            Raw,
+            RawCatalog,
             Service, //
         },
         endpoint::Entry,
@@ -514,10 +514,10 @@
         evacuation: None,
         keys: Millis(4750),
         routes: Millis(2850),
-        staying: Millis(2700),
-        read_every: Millis(666),
-        away: Millis(2500),
-        lapse: Millis(2000),
+        max_confirmation_age: Millis(2700),
+        read_interval: Millis(666),
+        outage_threshold: Millis(2500),
+        lapse_grace: Millis(2000),
         skew: Permille(2000),
         retry: Policy {
             window: Millis(10_000),
@@ -570,7 +570,7 @@
         }),
         warmup: None,
     };
-    let raw = Raw {
+    let raw = RawCatalog {
         version: 1,
         routes: vec![route],
         services: vec![service],
