--- a/crates/core/src/gateway/endpoint.rs
+++ b/crates/core/src/gateway/endpoint.rs
@@ -157,25 +157,25 @@
     /// Hash of its name, for rendezvous hashing.
     pub seed: u64,
     /// When it joined; `None` if it was listed before this router started.
-    since: Option<Time>,
+    joined_at: Option<Time>,
     /// Requests of this router in progress there.
     pub own_in_flight: u32,
     load_report: Option<LoadReport>,
     /// Send time of the newest request whose answer confirmed to this router that the endpoint is
     /// not leaving.
-    confirmed: Option<Time>,
+    confirmed_at: Option<Time>,
     /// The same for a request of another router.
-    confirmed_by_peer: Option<Time>,
+    confirmed_by_peer_at: Option<Time>,
     consecutive_failures: u32,
-    paused: Option<Time>,
+    paused_until: Option<Time>,
     /// When it last could not be reached.
-    unreached: Option<Time>,
+    unreached_at: Option<Time>,
     /// Failure rate, and when it was last updated.
     failure_rate: (Time, f32),
     /// Latency of answers in milliseconds, and when it was last updated.
     latency: Option<(Time, f32)>,
     /// Send times of this router's newest requests.
-    sent: VecDeque<Time>,
+    send_times: VecDeque<Time>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -187,8 +187,8 @@
 }
 
 impl Endpoint {
-    /// Makes an endpoint from its first entry; `since` is when it joined, if that is known.
-    pub fn new(since: Option<Time>, entry: Entry) -> Self {
+    /// Makes an endpoint from its first entry; `joined_at` is when it joined, if that is known.
+    pub fn new(joined_at: Option<Time>, entry: Entry) -> Self {
         let state = initial_state(&entry);
         let seed = xxhash_rust::xxh3::xxh3_64(&entry.id);
         Self {
@@ -198,17 +198,17 @@
             cold_until: Time(0),
             maybe_cold_until: Time(0),
             seed,
-            since,
+            joined_at,
             own_in_flight: 0,
             load_report: None,
-            confirmed: None,
-            confirmed_by_peer: None,
+            confirmed_at: None,
+            confirmed_by_peer_at: None,
             consecutive_failures: 0,
-            paused: None,
-            unreached: None,
+            paused_until: None,
+            unreached_at: None,
             failure_rate: (Time(0), 0.0),
             latency: None,
-            sent: VecDeque::new(),
+            send_times: VecDeque::new(),
         }
     }
 
@@ -227,7 +227,7 @@
 
     /// Tells whether it joined so recently that it has cached few prompt parts.
     pub fn recently_joined(&self, now: Time) -> bool {
-        self.since
+        self.joined_at
             .is_some_and(|since| now.since(since) < CACHE_FILL_TIME)
     }
 
@@ -262,12 +262,12 @@
     /// Notes that its answer to a request of this router, sent at `at`, did not say that it is
     /// leaving.
     pub fn confirm(&mut self, at: Time) {
-        self.confirmed = self.confirmed.max(Some(at));
+        self.confirmed_at = self.confirmed_at.max(Some(at));
     }
 
     /// Notes the same for a request of another router.
     pub fn confirm_by_peer(&mut self, at: Time) {
-        self.confirmed_by_peer = self.confirmed_by_peer.max(Some(at));
+        self.confirmed_by_peer_at = self.confirmed_by_peer_at.max(Some(at));
     }
 
     /// Tells whether it was confirmed less than `bound` ago that it is not leaving; `read` is the
@@ -278,7 +278,7 @@
     /// only evidence, each registry outage longer than the bound would stop all traffic. The
     /// endpoints' own answers confirm the same at no extra cost.
     pub fn recently_confirmed(&self, now: Time, read: Option<Time>, bound: Millis) -> bool {
-        let newest = read.max(self.confirmed).max(self.confirmed_by_peer);
+        let newest = read.max(self.confirmed_at).max(self.confirmed_by_peer_at);
         newest.is_some_and(|at| now.since(at) < bound)
     }
 
@@ -286,10 +286,10 @@
     ///
     /// An answer to any router's request that was sent later shows that it is alive.
     pub fn liveness_since(&self, since: Time) -> Liveness {
-        let answered = self.confirmed.max(self.confirmed_by_peer);
+        let answered = self.confirmed_at.max(self.confirmed_by_peer_at);
         if answered.is_some_and(|at| at > since) {
             Liveness::Alive
-        } else if self.unreached.is_some_and(|at| at >= since) {
+        } else if self.unreached_at.is_some_and(|at| at >= since) {
             Liveness::Dead
         } else {
             Liveness::Unknown
@@ -299,7 +299,7 @@
     /// Tells whether it currently gets no requests because it could not be reached or its answers
     /// broke off.
     pub fn paused(&self, now: Time) -> bool {
-        self.paused.is_some_and(|until| now < until)
+        self.paused_until.is_some_and(|until| now < until)
     }
 
     /// Gets the recent failure rate of its answers, from 0 to 1.
@@ -364,7 +364,7 @@
         let endpoint = self.tag().0;
         if let (Some(age), Some(load_report)) = (self.age(now), self.load_report) {
             let recent = |at| at + mesh::MAX_CONFIRMED_LATENCY >= load_report.at;
-            let confirmed = self.confirmed.is_some_and(recent);
+            let confirmed = self.confirmed_at.is_some_and(recent);
             return Some(EndpointReport {
                 endpoint,
                 age,
@@ -372,7 +372,7 @@
                 confirmed,
             });
         }
-        let age = now.since(self.confirmed?);
+        let age = now.since(self.confirmed_at?);
         (age < LOAD_REPORT_TTL).then_some(EndpointReport {
             endpoint,
             age,
@@ -391,7 +391,7 @@
         if self.load_report.is_some_and(|s| s.at >= at) {
             return;
         }
-        let recent = self.sent.iter().filter(|t| **t > at).count();
+        let recent = self.send_times.iter().filter(|t| **t > at).count();
         let recent = u32::try_from(recent).unwrap_or(u32::MAX);
         let load = Load {
             running: load,
@@ -408,9 +408,9 @@
 
     /// Notes that a request is sent to it.
     pub fn sent(&mut self, now: Time) {
-        self.sent.push_back(now);
-        if self.sent.len() > MAX_SEND_TIMES {
-            self.sent.pop_front();
+        self.send_times.push_back(now);
+        if self.send_times.len() > MAX_SEND_TIMES {
+            self.send_times.pop_front();
         }
         self.own_in_flight = self.own_in_flight.saturating_add(1);
     }
@@ -430,7 +430,7 @@
         match fate {
             Fate::Answered => {
                 self.consecutive_failures = 0;
-                self.paused = None;
+                self.paused_until = None;
                 self.update_latency(now, took);
                 self.update_failure_rate(now, 0.0);
             }
@@ -454,7 +454,7 @@
 
     /// Notes that no connection to it could be made.
     pub fn unreached(&mut self, now: Time) {
-        self.unreached = Some(now);
+        self.unreached_at = Some(now);
         self.pause(now, self.consecutive_failures);
         self.consecutive_failures += 1;
     }
@@ -477,7 +477,7 @@
 
     fn pause(&mut self, now: Time, doublings: u32) {
         let pause = MIN_PAUSE.0 << doublings.min(8);
-        self.paused = Some(now + Millis(pause.min(MAX_PAUSE.0)));
+        self.paused_until = Some(now + Millis(pause.min(MAX_PAUSE.0)));
     }
 }
 
