--- a/crates/core/examples/measure_once/sim.rs
+++ b/crates/core/examples/measure_once/sim.rs
@@ -328,7 +328,7 @@
                 {
                     router
                         .home
-                        .voted(now, key, Incarnation(life), (epoch, round), vote);
+                        .record_vote(now, key, Incarnation(life), (epoch, round), vote);
                 }
             }
             Event::Fault(fault) => self.fault(fault),
--- a/crates/core/examples/measure_once/sim/calls.rs
+++ b/crates/core/examples/measure_once/sim/calls.rs
@@ -9,7 +9,7 @@
         Tag,
         rendezvous, //
     },
-    once::Begin,
+    once::KeyDecision,
     request::{
         Answer,
         Call,
@@ -106,12 +106,12 @@
             }
             Way::Ticket if ticket.1 != life => return self.tell(index, Outcome::Unknown, false),
             Way::Ticket | Way::Live => match self.routers[home].known.insert(key, true) {
-                None => Begin::Run,
-                Some(_) => Begin::Replay(Answer::default()),
+                None => KeyDecision::Run,
+                Some(_) => KeyDecision::Replay(Answer::default()),
             },
         };
         match begin {
-            Begin::Run => {
+            KeyDecision::Run => {
                 self.actions[index].runs += 1;
                 self.push(
                     RUN_TIME,
@@ -123,9 +123,9 @@
                     },
                 );
             }
-            Begin::Replay(_) => self.tell(index, Outcome::Done, false),
-            Begin::Wait => self.push(REPEAT_AFTER, Event::Send(index)),
-            Begin::Refuse(refusal) => {
+            KeyDecision::Replay(_) => self.tell(index, Outcome::Done, false),
+            KeyDecision::Wait => self.push(REPEAT_AFTER, Event::Send(index)),
+            KeyDecision::Refuse(refusal) => {
                 self.tell(index, refusal.outcome, refusal.retry_after.is_some());
             }
         }
--- a/crates/core/src/node/calls.rs
+++ b/crates/core/src/node/calls.rs
@@ -19,7 +19,7 @@
         Outgo,
         Verdict, //
     },
-    once::Begin,
+    once::KeyDecision,
     overload,
     peer::Message,
     place::{
@@ -191,10 +191,10 @@
                 out.push(Action::Log(Decision::Forwarded { call, router }));
             }
             _ => match self.home.begin(now, &config, call, key, content) {
-                Begin::Run => self.dispatch(now, call, out),
-                Begin::Wait => open.stage = Stage::Waiting,
-                Begin::Refuse(refusal) => self.give(now, call, refusal, out),
-                Begin::Replay(answer) => {
+                KeyDecision::Run => self.dispatch(now, call, out),
+                KeyDecision::Wait => open.stage = Stage::Waiting,
+                KeyDecision::Refuse(refusal) => self.give(now, call, refusal, out),
+                KeyDecision::Replay(answer) => {
                     self.calls.swap_remove(&call);
                     out.push(Action::Replay { call, answer });
                     out.push(Action::Log(Decision::Replayed { call }));
@@ -210,7 +210,7 @@
         };
         let mut not_after = None;
         if let Work::Once { key, .. } = open.request.work {
-            not_after = self.home.may_send(now, key);
+            not_after = self.home.send_deadline(now, key);
             if not_after.is_none() {
                 let refusal = Refusal::not_run(Code::HomeUnavailable, Some(SOON));
                 return self.end_refused(now, call, refusal, out);
--- a/crates/core/src/node/ends.rs
+++ b/crates/core/src/node/ends.rs
@@ -109,7 +109,7 @@
             retried,
         }));
         if retried {
-            self.touch(call, &end);
+            self.mark_may_have_run(call, &end);
             return self.again(now, call, wait, out);
         }
         let work = request.work.clone();
@@ -167,7 +167,7 @@
                 self.calls.swap_remove(&call);
             }
             Stage::Waiting => {
-                self.leave(call, &work);
+                self.stop_waiting(call, &work);
                 self.calls.swap_remove(&call);
             }
         }
--- a/crates/core/src/node/once.rs
+++ b/crates/core/src/node/once.rs
@@ -18,7 +18,7 @@
         Endpoint, //
     },
     ids::Tag,
-    once::Ended,
+    once::KeyCompletion,
     request::{
         Answer,
         Call,
@@ -55,7 +55,8 @@
         };
         let own = |key: &Key| self.me.is_some() && config.home(key.item()) == self.me;
         let key = (0..TRIES).map(dated).find(own);
-        self.home.settled(now, config) && key.is_some_and(|key| self.home.vouches(now, config, key))
+        self.home.accepts_new_keys(now, config)
+            && key.is_some_and(|key| self.home.proves_not_run(now, config, key))
     }
 
     /// Tells whether this router, as the home, remembers a request with the key of `work`.
@@ -86,7 +87,7 @@
             return refusal;
         };
         let config = self.store.current();
-        if refusal.outcome != Outcome::NotRun || self.home.vouches(now, config, *key) {
+        if refusal.outcome != Outcome::NotRun || self.home.proves_not_run(now, config, *key) {
             return refusal;
         }
         let outcome = Outcome::Unknown;
@@ -128,7 +129,7 @@
         }
     }
 
-    fn release(&mut self, now: Now, ended: Ended, code: Code, out: &mut Vec<Action>) {
+    fn release(&mut self, now: Now, ended: KeyCompletion, code: Code, out: &mut Vec<Action>) {
         for call in ended.waiters {
             let Some(answer) = ended.answer.clone() else {
                 let refusal = Refusal {
@@ -146,9 +147,9 @@
         }
     }
 
-    pub(super) fn leave(&mut self, call: Call, work: &Work) {
+    pub(super) fn stop_waiting(&mut self, call: Call, work: &Work) {
         if let Work::Once { key, .. } = work {
-            self.home.leave(*key, call);
+            self.home.stop_waiting(*key, call);
         }
     }
 
@@ -160,7 +161,7 @@
             .map(|(call, open)| (*call, open.request.work.clone()))
             .collect();
         for (call, work) in late {
-            self.leave(call, &work);
+            self.stop_waiting(call, &work);
             let refusal = Refusal::unknown(Code::KeyInProgress, Some(COME_BACK));
             self.give(now, call, refusal, out);
         }
@@ -186,7 +187,7 @@
     }
 
     /// Notes that an attempt which is now repeated may have reached an endpoint.
-    pub(super) fn touch(&mut self, call: Call, end: &End) {
+    pub(super) fn mark_may_have_run(&mut self, call: Call, end: &End) {
         let Some(open) = self.calls.get(&call) else {
             return;
         };
@@ -194,7 +195,7 @@
             return;
         }
         if let Work::Once { key, .. } = open.request.work {
-            self.home.touch(key);
+            self.home.mark_may_have_run(key);
         }
     }
 }
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -153,7 +153,7 @@
                     previous,
                 };
                 self.home
-                    .voted(now, from, incarnation, (epoch, round), vote);
+                    .record_vote(now, from, incarnation, (epoch, round), vote);
             }
         }
     }
@@ -235,7 +235,7 @@
         self.home.tick(now, &config, &mut lease);
         let send = |(router, message)| Action::Send { router, message };
         out.extend(lease.into_iter().map(send));
-        if let Some(once::Held { epoch, held }) = self.home.changed(now) {
+        if let Some(once::LeaseChange { epoch, held }) = self.home.changed(now) {
             out.push(Action::Log(Decision::Lease { epoch, held }));
         }
         let interval = config.policy.summary_interval;
--- a/crates/core/src/once/fleet.rs
+++ b/crates/core/src/once/fleet.rs
@@ -1,4 +1,4 @@
-//! A published fleet as the lease sees it: who counts, and how many are enough.
+//! The members of a published fleet, and which sets of them are a quorum.
 
 use std::net::SocketAddr;
 
@@ -14,27 +14,27 @@
     units::Revision,
 };
 
-/// `Member` is one router of a published fleet. A name that moves to another address is another
-/// member: both processes may be up for a while, and each would count as a voter.
+/// `Member` is one router of a published fleet. The same name at another address is another member:
+/// both processes may run for a while, and each would vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
-    /// Tag of its name.
+    /// Tag of the router's name.
     pub tag: Tag,
-    /// Where peers reach it.
+    /// Address at which peers reach the router.
     pub address: SocketAddr,
 }
 
 /// `Fleet` is the published fleet of one epoch.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    /// Revision of the list.
+    /// Revision of the fleet list.
     pub epoch: Revision,
-    /// Its members.
+    /// Routers in the list.
     pub members: IndexSet<Member>,
 }
 
 impl Fleet {
-    /// Takes the fleet out of a configuration.
+    /// Makes the fleet of a configuration.
     pub fn of(config: &Config) -> Self {
         let members = members(config).map(|(_, member)| member).collect();
         Self {
@@ -43,20 +43,20 @@
         }
     }
 
-    /// Gets the least number of members that is a majority.
+    /// Gets the number of members of the smallest majority.
     pub fn quorum(&self) -> usize {
         self.members.len() / 2 + 1
     }
 
-    /// Tells whether `voters` hold a majority.
-    pub fn won<'a>(&self, voters: impl Iterator<Item = &'a Member>) -> bool {
+    /// Tells whether `voters` include a majority of the members.
+    pub fn has_majority<'a>(&self, voters: impl Iterator<Item = &'a Member>) -> bool {
         !self.members.is_empty()
             && voters.filter(|v| self.members.contains(*v)).count() >= self.quorum()
     }
 
     /// Tells whether every majority of this fleet shares a member with every majority of `other`.
-    /// A publish that adds or takes out one member keeps this (Ongaro, 2014, section 4.1).
-    pub fn overlaps(&self, other: &Self) -> bool {
+    /// A change of the list that adds or removes one member keeps this (Ongaro, 2014, section 4.1).
+    pub fn quorums_intersect(&self, other: &Self) -> bool {
         let added = other.members.iter().filter(|m| !self.members.contains(*m));
         self.quorum() + other.quorum() > self.members.len() + added.count()
     }
--- a/crates/core/src/once/memory.rs
+++ b/crates/core/src/once/memory.rs
@@ -1,4 +1,4 @@
-//! The home's memory of keys, bounded in entries and bytes.
+//! The home's table of remembered keys, bounded in entries and in bytes of answers.
 
 use bytes::Bytes;
 use indexmap::{
@@ -20,68 +20,73 @@
     },
 };
 
-/// Most keys remembered. At the bound new keys are refused; none is forgotten before its time.
+/// Most keys remembered. At this number new keys are refused; none is removed before it expires.
 pub const MAX_KEYS: usize = 40_000;
 
-/// Largest answer body kept for repeats; of a larger one only the status is kept.
-pub const MAX_BODY: usize = 4096;
+/// Largest answer, body and content type together, that is stored for repeated requests. Of a
+/// larger one only the fact that the call ran is kept.
+pub const MAX_STORED_ANSWER_BYTES: usize = 4096;
 
-/// Most bytes of answers kept in all; past it only the status is kept.
-pub const MAX_BYTES: usize = 8 << 20;
+/// Most bytes of answers stored for all keys together. Beyond it only the fact that a call ran is
+/// kept.
+pub const MAX_TOTAL_ANSWER_BYTES: usize = 8 << 20;
 
-/// Most repeats that wait for one key's first answer; further ones are told to come back.
-pub const MAX_WAITERS: usize = 8;
+/// Most repeated requests that wait for the first answer to one key; further ones are refused with
+/// a time after which to retry.
+pub const MAX_WAITERS_PER_KEY: usize = 8;
 
-/// `Progress` is what became of a key so far.
+/// `Progress` is what has become of the first request with a key.
 #[derive(Clone, Debug)]
 pub(super) enum Progress {
-    /// Its first request is in progress.
+    /// The request is in progress.
     Running {
-        /// Repeats that wait for the answer.
+        /// Repeated requests that wait for the answer.
         waiters: Vec<Call>,
-        /// Whether an attempt may have reached an endpoint already.
-        touched: bool,
+        /// Whether an earlier attempt may have reached an endpoint.
+        may_have_run: bool,
     },
-    /// It ran; the first answer.
+    /// It ran; its answer is stored.
     Done(Answer),
-    /// It ran; the answer was too large to keep.
-    Gone,
+    /// It ran; its answer was missing or was not stored because of a size limit.
+    DoneWithoutAnswer,
     /// It may have run.
     Unknown,
 }
 
-/// `Record` is one key.
+/// `KeyRecord` is what is remembered of one key.
 #[derive(Clone, Debug)]
-pub(super) struct Record {
+pub(super) struct KeyRecord {
+    /// Hash of the first request's content.
     pub(super) content: u64,
-    /// When its first request began here.
-    pub(super) begun: Time,
+    /// When the first request began at this router.
+    pub(super) started_at: Time,
     pub(super) progress: Progress,
 }
 
-/// `Ended` is what follows from the end of a key's first request.
+/// `KeyCompletion` is the result of a key's first request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
-    /// What may be told of the action.
+pub struct KeyCompletion {
+    /// Outcome to report to callers.
     pub outcome: Outcome,
-    /// The answer, where one is kept.
+    /// Answer to give to the waiting calls, if there is one.
     pub answer: Option<Answer>,
-    /// Repeats that waited for it.
+    /// Repeated requests that waited for the answer.
     pub waiters: Vec<Call>,
 }
 
-/// `Memory` holds the keys.
+/// `KeyTable` holds the remembered keys.
 #[derive(Debug, Default)]
-pub(super) struct Memory {
-    records: IndexMap<Key, Record>,
-    bytes: usize,
-    /// Latest date of a key that was forgotten: a key that is not here and not dated after this
-    /// may be one of them, whatever the wall clock says by now.
-    forgotten: Option<Wall>,
+pub(super) struct KeyTable {
+    records: IndexMap<Key, KeyRecord>,
+    /// Bytes of the stored answers.
+    answer_bytes: usize,
+    /// Latest creation time of the keys that were removed. A key that is not in the table and was
+    /// not created after this time may be one of them, even if the wall clock was set back since.
+    latest_forgotten: Option<Wall>,
 }
 
-impl Memory {
-    pub(super) fn get(&self, key: Key) -> Option<&Record> {
+impl KeyTable {
+    pub(super) fn get(&self, key: Key) -> Option<&KeyRecord> {
         self.records.get(&key)
     }
 
@@ -93,42 +98,44 @@
         self.records.len() >= MAX_KEYS
     }
 
-    /// Tells whether a key that is not here may have been.
-    pub(super) fn may_forget(&self, key: Key) -> bool {
-        self.forgotten.is_some_and(|date| key.created() <= date)
+    /// Tells whether a key that is not in the table may have been removed from it.
+    pub(super) fn may_have_forgotten(&self, key: Key) -> bool {
+        self.latest_forgotten
+            .is_some_and(|latest| key.created() <= latest)
     }
 
     pub(super) fn start(&mut self, now: Time, key: Key, content: u64) {
-        let record = Record {
+        let record = KeyRecord {
             content,
-            begun: now,
+            started_at: now,
             progress: Progress::Running {
                 waiters: Vec::new(),
-                touched: false,
+                may_have_run: false,
             },
         };
         self.records.insert(key, record);
     }
 
-    /// Lets a repeat wait for the first answer; `false` when too many do.
+    /// Adds a repeated request to those that wait for the first answer; `false` if the first
+    /// request is not in progress or [`MAX_WAITERS_PER_KEY`] are waiting.
     pub(super) fn wait(&mut self, key: Key, call: Call) -> bool {
-        let Some(Record {
+        let Some(KeyRecord {
             progress: Progress::Running { waiters, .. },
             ..
         }) = self.records.get_mut(&key)
         else {
             return false;
         };
-        let room = waiters.len() < MAX_WAITERS;
+        let room = waiters.len() < MAX_WAITERS_PER_KEY;
         if room {
             waiters.push(call);
         }
         room
     }
 
-    /// Takes a repeat that gave up out of those that wait.
-    pub(super) fn leave(&mut self, key: Key, call: Call) {
-        if let Some(Record {
+    /// Removes a repeated request from those that wait.
+    pub(super) fn stop_waiting(&mut self, key: Key, call: Call) {
+        if let Some(KeyRecord {
             progress: Progress::Running { waiters, .. },
             ..
         }) = self.records.get_mut(&key)
@@ -137,66 +144,78 @@
         }
     }
 
-    /// Notes that an attempt may have reached an endpoint and another follows.
-    pub(super) fn touch(&mut self, key: Key) {
-        if let Some(Record {
-            progress: Progress::Running { touched, .. },
+    /// Records that an attempt may have reached an endpoint and that another attempt follows.
+    pub(super) fn mark_may_have_run(&mut self, key: Key) {
+        if let Some(KeyRecord {
+            progress: Progress::Running { may_have_run, .. },
             ..
         }) = self.records.get_mut(&key)
         {
-            *touched = true;
+            *may_have_run = true;
         }
     }
 
-    /// Ends a key's first request.
-    pub(super) fn end(&mut self, key: Key, outcome: Outcome, answer: Option<Answer>) -> Ended {
-        let mut ended = Ended {
+    /// Records the end of a key's first request.
+    pub(super) fn end(
+        &mut self,
+        key: Key,
+        outcome: Outcome,
+        answer: Option<Answer>,
+    ) -> KeyCompletion {
+        let mut completion = KeyCompletion {
             outcome,
             answer: None,
             waiters: Vec::new(),
         };
         let Entry::Occupied(mut entry) = self.records.entry(key) else {
-            return ended;
+            return completion;
         };
         let progress = &mut entry.get_mut().progress;
-        let Progress::Running { waiters, touched } = progress else {
-            return ended;
+        let Progress::Running {
+            waiters,
+            may_have_run,
+        } = progress
+        else {
+            return completion;
         };
-        ended.waiters = std::mem::take(waiters);
-        // The last attempt left no byte, but one before it may have.
-        if outcome == Outcome::NotRun && *touched {
-            ended.outcome = Outcome::Unknown;
+        completion.waiters = std::mem::take(waiters);
+        // The last attempt sent nothing, but an earlier one may have reached an endpoint.
+        if outcome == Outcome::NotRun && *may_have_run {
+            completion.outcome = Outcome::Unknown;
         }
-        match (ended.outcome, answer) {
+        match (completion.outcome, answer) {
             (Outcome::NotRun, _) => {
                 entry.swap_remove();
             }
             (Outcome::Done, Some(answer)) => {
                 let size = answer.body.len() + answer.content_type.len();
-                ended.answer = Some(answer.clone());
-                *progress = if size <= MAX_BODY && self.bytes + size <= MAX_BYTES {
-                    self.bytes += size;
-                    Progress::Done(owned(answer))
+                completion.answer = Some(answer.clone());
+                *progress = if size <= MAX_STORED_ANSWER_BYTES
+                    && self.answer_bytes + size <= MAX_TOTAL_ANSWER_BYTES
+                {
+                    self.answer_bytes += size;
+                    Progress::Done(copied(answer))
                 } else {
-                    Progress::Gone
+                    Progress::DoneWithoutAnswer
                 };
             }
-            (Outcome::Done, None) => *progress = Progress::Gone,
+            (Outcome::Done, None) => *progress = Progress::DoneWithoutAnswer,
             (Outcome::Unknown, _) => *progress = Progress::Unknown,
         }
-        ended
+        completion
     }
 
-    /// Forgets the keys that are too old to be run again.
+    /// Removes keys older than `ttl`, except those of requests in progress. A key of that age is
+    /// refused, so its call cannot run again.
     pub(super) fn expire(&mut self, wall: Wall, ttl: Millis) {
-        let (forgotten, bytes) = (&mut self.forgotten, &mut self.bytes);
+        let (latest_forgotten, bytes) = (&mut self.latest_forgotten, &mut self.answer_bytes);
         self.records.retain(|key, record| {
             let running = matches!(record.progress, Progress::Running { .. });
             let old = key.created() + ttl < wall;
             if running || !old {
                 return true;
             }
-            *forgotten = (*forgotten).max(Some(key.created()));
+            *latest_forgotten = (*latest_forgotten).max(Some(key.created()));
             if let Progress::Done(answer) = &record.progress {
                 *bytes -= answer.body.len() + answer.content_type.len();
             }
@@ -205,8 +224,8 @@
     }
 }
 
-/// Copies an answer out of the buffer it came in, which may be far larger.
-fn owned(answer: Answer) -> Answer {
+/// Copies an answer out of its network buffer, which may be far larger and would stay allocated.
+fn copied(answer: Answer) -> Answer {
     Answer {
         content_type: Bytes::copy_from_slice(&answer.content_type),
         body: Bytes::copy_from_slice(&answer.body),
--- a/crates/core/src/once/mod.rs
+++ b/crates/core/src/once/mod.rs
@@ -1,15 +1,15 @@
-//! Calls that run at most once: the home's memory of keys and the lease under which it acts.
+//! Calls that run at most once: the keys that a home remembers and the lease under which it acts.
 //!
-//! A caller's `Idempotency-Key` has one home: the router with the highest rendezvous score over
-//! the published fleet of one epoch. Only the home sends the call on, and only
+//! A caller's `Idempotency-Key` has one home: the router with the highest rendezvous score in the
+//! published fleet of one epoch. Only the home forwards the call to an endpoint, and only
 //!
-//! - while it holds a lease of that epoch ([`lease`]), which a majority of the fleet confirmed
+//! - while it holds a lease of that epoch ([`lease`]) that a majority of the fleet has confirmed
 //!   ([`vote`]), so that no home of another epoch acts at the same time;
-//! - if the key is in its [`memory`] or is dated after the time since when it alone answers for
-//!   the key ([`tenure`]), so that no earlier home can have run it.
+//! - if the key is in its table ([`memory`]) or was created after this router became the only
+//!   home of the key ([`tenure`]), so that no earlier home can have run it.
 //!
-//! Whatever else comes is answered with [`Outcome::Unknown`]; [`Outcome::NotRun`] is said only
-//! where the home knows that the key never ran. docs/design/at-most-once.md gives the argument.
+//! Any other call is refused with [`Outcome::Unknown`]. [`Outcome::NotRun`] is reported only where
+//! the home knows that the key never ran. docs/design/at-most-once.md gives the argument.
 
 use crate::{
     arena::RouterKey,
@@ -39,16 +39,16 @@
 mod vote;
 
 use lease::{
-    Lease,
-    Start, //
+    Continuity,
+    Lease, //
 };
 use memory::{
-    Memory,
+    KeyTable,
     Progress, //
 };
 use tenure::Tenure;
 use vote::{
-    Asker,
+    Candidate,
     Voter, //
 };
 
@@ -57,47 +57,49 @@
     Member, //
 };
 pub use memory::{
-    Ended,
-    MAX_BODY,
-    MAX_BYTES,
+    KeyCompletion,
     MAX_KEYS,
-    MAX_WAITERS, //
+    MAX_STORED_ANSWER_BYTES,
+    MAX_TOTAL_ANSWER_BYTES,
+    MAX_WAITERS_PER_KEY, //
 };
 pub use vote::{
     MAX_LEASE,
     Vote,
-    kept, //
+    promise_duration, //
 };
 
-/// Time between two searches for keys that are too old to be remembered.
-const EXPIRE_EVERY: Millis = Millis::from_secs(10);
+/// Time between two removals of expired keys.
+const KEY_EXPIRY_INTERVAL: Millis = Millis::from_secs(10);
 
-/// Furthest that a key may be dated ahead for its caller to be asked to come back.
-const MAX_AHEAD: Millis = Millis::from_secs(60);
+/// Longest time after which a caller whose key is dated in the future is told to retry. A caller
+/// whose key is dated further ahead is given no time.
+const MAX_FUTURE_RETRY_AFTER: Millis = Millis::from_secs(60);
 
-/// `Begin` is what the home says to a call.
+/// `KeyDecision` is the home's decision on a call with a key.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Begin {
-    /// Run it; nobody ran it before.
+pub enum KeyDecision {
+    /// Run the call; it has not run before.
     Run,
-    /// Wait for the first answer; [`Home::end`] names the call.
+    /// Wait for the answer to the first request; [`Home::end`] returns the call among the waiters.
     Wait,
-    /// Give the first answer.
+    /// Return the stored answer to the first request.
     Replay(Answer),
-    /// Refuse it.
+    /// Refuse the call.
     Refuse(Refusal),
 }
 
-/// `Held` is a change of the lease, for the decision log.
+/// `LeaseChange` says that the lease was gained or lost, or is held under another epoch, for the
+/// decision log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
-    /// Fleet epoch.
+pub struct LeaseChange {
+    /// Epoch of the fleet.
     pub epoch: Revision,
     /// Whether the lease is held now.
     pub held: bool,
 }
 
-/// `Home` is this router as a home of keys and as a voter for the leases of others.
+/// `Home` is this router's role as a home of keys, and as a voter on the leases of other homes.
 #[derive(Debug)]
 pub struct Home {
     me: Option<Member>,
@@ -105,13 +107,13 @@
     voter: Voter,
     lease: Lease,
     tenure: Tenure,
-    keys: Memory,
-    expired: Time,
-    told: Held,
+    keys: KeyTable,
+    last_expiry: Time,
+    last_reported: LeaseChange,
 }
 
 impl Home {
-    /// Makes the home of a process that starts now.
+    /// Makes the state of a process that starts now. It holds no lease and remembers no key.
     pub fn new(now: Now, incarnation: Incarnation) -> Self {
         Self {
             me: None,
@@ -119,23 +121,23 @@
             voter: Voter::new(now.mono),
             lease: Lease::default(),
             tenure: Tenure::default(),
-            keys: Memory::default(),
-            expired: now.mono,
-            told: Held {
+            keys: KeyTable::default(),
+            last_expiry: now.mono,
+            last_reported: LeaseChange {
                 epoch: Revision(0),
                 held: false,
             },
         }
     }
 
-    /// Follows a new configuration. `me` is this router, `None` while it is not in the fleet list.
+    /// Applies a new configuration. `me` is this router, `None` while it is not in the fleet list.
     pub fn apply(&mut self, now: Now, config: &Config, me: Option<RouterKey>) {
         self.me = me.and_then(|key| fleet::member(config, key));
         self.lease.apply(now, config, self.me);
         self.voter.prune(now, &self.lease.fleet().members);
     }
 
-    /// Asks whether a call may run here and now.
+    /// Decides whether a call may run at this router now.
     pub fn begin(
         &mut self,
         now: Now,
@@ -143,56 +145,57 @@
         call: Call,
         key: Key,
         content: u64,
-    ) -> Begin {
+    ) -> KeyDecision {
         let Some(record) = self.keys.get(key) else {
             if let Err(refusal) = self.admit(now, config, key) {
-                return Begin::Refuse(refusal);
+                return KeyDecision::Refuse(refusal);
             }
             self.keys.start(now.mono, key, content);
-            return Begin::Run;
+            return KeyDecision::Run;
         };
         if record.content != content {
-            // The key's first content may have run, and the promise is about the key.
-            return Begin::Refuse(Refusal::unknown(Code::KeyReused, None));
+            // The request with the first content may have run, and at most one may run for a key.
+            return KeyDecision::Refuse(Refusal::unknown(Code::KeyReused, None));
         }
         match &record.progress {
-            Progress::Done(answer) => Begin::Replay(answer.clone()),
-            Progress::Gone => Begin::Refuse(Refusal {
+            Progress::Done(answer) => KeyDecision::Replay(answer.clone()),
+            Progress::DoneWithoutAnswer => KeyDecision::Refuse(Refusal {
                 code: Code::AnswerGone,
                 outcome: Outcome::Done,
                 retry_after: None,
             }),
-            Progress::Unknown => Begin::Refuse(Refusal::unknown(Code::EndpointFailed, None)),
+            Progress::Unknown => KeyDecision::Refuse(Refusal::unknown(Code::EndpointFailed, None)),
             Progress::Running { .. } => self.wait(config, call, key),
         }
     }
 
-    fn wait(&mut self, config: &Config, call: Call, key: Key) -> Begin {
+    fn wait(&mut self, config: &Config, call: Call, key: Key) -> KeyDecision {
         if self.keys.wait(key, call) {
-            return Begin::Wait;
+            return KeyDecision::Wait;
         }
         let after = Some(config.policy.lease);
-        Begin::Refuse(Refusal::unknown(Code::KeyInProgress, after))
+        KeyDecision::Refuse(Refusal::unknown(Code::KeyInProgress, after))
     }
 
-    /// Tells whether the key has never run: this router is its home under a valid lease and
-    /// tenure, and remembers no request with it.
-    pub fn vouches(&self, now: Now, config: &Config, key: Key) -> bool {
-        let never = match self.admit(now, config, key) {
+    /// Tells whether the key is known never to have run: this router is its home under a valid
+    /// lease and tenure, and remembers no request with it.
+    pub fn proves_not_run(&self, now: Now, config: &Config, key: Key) -> bool {
+        let never_ran = match self.admit(now, config, key) {
             Ok(()) => true,
             Err(refusal) => refusal.outcome == Outcome::NotRun,
         };
-        never && self.keys.get(key).is_none()
+        never_ran && self.keys.get(key).is_none()
     }
 
-    /// Tells whether every key made now is dated after the newest change of homes.
+    /// Tells whether every key created now is dated after the newest change of homes.
     ///
-    /// For a while after such a change the keys that stayed here run and those that came from
-    /// another home are refused; one key says nothing of the rest.
-    pub fn settled(&self, now: Now, config: &Config) -> bool {
+    /// For a while after such a change, keys whose home was this router before are run and keys
+    /// that had another home are refused, so whether one key is accepted says nothing about the
+    /// others.
+    pub fn accepts_new_keys(&self, now: Now, config: &Config) -> bool {
         let skew = config.policy.clock_skew;
-        let begun = |since| now.wall >= tenure::dated(now, since) + skew + skew;
-        self.tenure.newest().is_some_and(begun)
+        let term_passed = |since| now.wall >= tenure::latest_wall_time(now, since) + skew + skew;
+        self.tenure.newest_term_start().is_some_and(term_passed)
     }
 
     /// Tells whether this router remembers a request with the key.
@@ -200,66 +203,74 @@
         self.keys.get(key).is_some()
     }
 
-    /// Tells whether a key that is not remembered may run, and why not.
+    /// Decides whether a key that is not remembered may run.
+    ///
+    /// # Errors
+    ///
+    /// The refusal to answer with if it may not.
     fn admit(&self, now: Now, config: &Config, key: Key) -> Result<(), Refusal> {
         let policy = &config.policy;
         let (created, skew) = (key.created(), policy.clock_skew);
-        if self.lease.held(now).is_none() {
+        if self.lease.held_until(now).is_none() {
             let after = Some(policy.lease);
             return Err(Refusal::unknown(Code::HomeUnavailable, after));
         }
-        let Some(since) = self.since(key) else {
+        let Some(since) = self.sole_home_since(key) else {
             let after = Some(policy.lease);
             return Err(Refusal::unknown(Code::HomeUnavailable, after));
         };
-        // Any home refuses what is dated `skew` ahead of its clock, and an earlier home's clock was
-        // at most `skew` ahead of this one's: what it ran is dated before its end and two of them.
-        // Callers' clocks don't matter to the promise.
-        let foreign = created < tenure::dated(now, since) + skew + skew;
+        // Every home refuses keys dated more than `skew` ahead of its clock, and the clock of an
+        // earlier home was at most `skew` ahead of this one's. So every key that it ran is dated
+        // before the end of its tenure plus twice `skew`, whatever the callers' clocks showed.
+        let foreign = created < tenure::latest_wall_time(now, since) + skew + skew;
         let old = created + policy.key_ttl < now.wall;
-        if foreign || old || self.keys.may_forget(key) {
+        if foreign || old || self.keys.may_have_forgotten(key) {
             return Err(Refusal::unknown(Code::KeyExpired, None));
         }
         if created > now.wall + skew {
             let wait = Millis(created.0 - (now.wall + skew).0);
-            let after = Some(wait).filter(|w| *w <= MAX_AHEAD);
+            let after = Some(wait).filter(|w| *w <= MAX_FUTURE_RETRY_AFTER);
             return Err(Refusal::not_run(Code::KeyFuture, after));
         }
         if self.keys.is_full() {
-            return Err(Refusal::not_run(Code::KeysFull, Some(EXPIRE_EVERY)));
+            return Err(Refusal::not_run(Code::KeysFull, Some(KEY_EXPIRY_INTERVAL)));
         }
         Ok(())
     }
 
-    /// Gets the end of the lease if a call that [`Home::begin`] let run may still be sent now: it
-    /// is asked before each attempt, and the driver writes no byte from that time on.
+    /// Gets the end of the lease if a call that [`Home::begin`] admitted may still be sent now. It
+    /// is asked for before each attempt, and the driver sends nothing from that time on.
     ///
-    /// The process may have been paused since, and another home may have answered for the key in
-    /// the meantime; the lease alone, if it is held again, does not tell.
-    pub fn may_send(&self, now: Now, key: Key) -> Option<Time> {
-        let until = self.lease.held(now)?;
+    /// The process may have been paused since the call was admitted, and another home may have run
+    /// the key in the meantime. A lease that is held again does not rule that out, so the tenure
+    /// must also have started before the call.
+    pub fn send_deadline(&self, now: Now, key: Key) -> Option<Time> {
+        let until = self.lease.held_until(now)?;
         let record = self.keys.get(key)?;
         let running = matches!(record.progress, Progress::Running { .. });
-        let since = self.since(key)?;
-        (running && since.mono <= record.begun).then_some(until)
+        let since = self.sole_home_since(key)?;
+        (running && since.mono <= record.started_at).then_some(until)
     }
 
-    /// Notes that an attempt may have reached an endpoint that checks keys, and another follows.
-    pub fn touch(&mut self, key: Key) {
-        self.keys.touch(key);
+    /// Records that an attempt may have reached an endpoint that checks keys, and that another
+    /// attempt follows.
+    pub fn mark_may_have_run(&mut self, key: Key) {
+        self.keys.mark_may_have_run(key);
     }
 
-    /// Notes how a call that ran ended; gives what may be told of it, and to whom besides.
-    pub fn end(&mut self, key: Key, outcome: Outcome, answer: Option<Answer>) -> Ended {
+    /// Records the end of a call that was run; gives the outcome to report and the calls that
+    /// waited for it.
+    pub fn end(&mut self, key: Key, outcome: Outcome, answer: Option<Answer>) -> KeyCompletion {
         self.keys.end(key, outcome, answer)
     }
 
-    /// Forgets a repeat that waited for the first answer.
-    pub fn leave(&mut self, key: Key, call: Call) {
-        self.keys.leave(key, call);
+    /// Removes a repeated request from those that wait for the first answer.
+    pub fn stop_waiting(&mut self, key: Key, call: Call) {
+        self.keys.stop_waiting(key, call);
     }
 
-    /// Answers a fleet member that asks this router to confirm its lease.
+    /// Answers a fleet member that asks this router to confirm a lease. `asked` is the member's
+    /// epoch and the duration of the lease.
     pub fn vote(
         &mut self,
         now: Now,
@@ -270,12 +281,12 @@
     ) -> Vote {
         let (epoch, lease) = asked;
         match fleet::member(config, from) {
-            Some(member) if epoch == config.epoch && self.lease.settled(now) => {
-                let asker = Asker {
+            Some(member) if epoch == config.epoch && self.lease.earlier_leases_expired(now) => {
+                let candidate = Candidate {
                     member,
                     incarnation,
                 };
-                self.voter.confirm(now, asker, epoch, lease)
+                self.voter.confirm(now, candidate, epoch, lease)
             }
             _ => Vote {
                 confirmed: false,
@@ -284,8 +295,9 @@
         }
     }
 
-    /// Notes a fleet member's answer: the epoch that it holds, the round, and its vote.
-    pub fn voted(
+    /// Records a fleet member's vote on this router's lease. `round` is the epoch that the member
+    /// holds and the number of the round.
+    pub fn record_vote(
         &mut self,
         now: Now,
         from: RouterKey,
@@ -293,42 +305,43 @@
         round: (Revision, u64),
         vote: Vote,
     ) {
-        let start = self.lease.voted(now, from, incarnation, round, vote);
-        self.start(now, start);
+        let continuity = self.lease.record_vote(now, from, incarnation, round, vote);
+        self.update_tenure(now, continuity);
     }
 
-    /// Lets time pass; gives the messages to send.
+    /// Does what is due at this time, and adds the messages to send to `out`.
     pub fn tick(&mut self, now: Now, config: &Config, out: &mut Vec<(RouterKey, Message)>) {
-        if now.mono.since(self.expired) >= EXPIRE_EVERY {
-            self.expired = now.mono;
+        if now.mono.since(self.last_expiry) >= KEY_EXPIRY_INTERVAL {
+            self.last_expiry = now.mono;
             self.keys.expire(now.wall, config.policy.key_ttl);
         }
-        if !self.lease.due(now, config) {
+        if !self.lease.round_due(now, config) {
             return;
         }
-        let start = self.lease.close(now);
-        self.start(now, start);
+        let continuity = self.lease.close_round(now);
+        self.update_tenure(now, continuity);
         let lease = config.policy.lease.min(MAX_LEASE);
         let own = self.voter.confirm_self(now, config.epoch, lease);
-        out.extend(self.lease.open(now, config, own, self.incarnation));
-        let start = self.lease.settle(now, Start::Linked);
-        self.start(now, start);
+        out.extend(self.lease.open_round(now, config, own, self.incarnation));
+        let continuity = self.lease.evaluate_round(now, Continuity::Unbroken);
+        self.update_tenure(now, continuity);
     }
 
     /// Tells whether the lease is held.
-    pub fn leased(&self, now: Now) -> bool {
-        self.lease.held(now).is_some()
+    pub fn holds_lease(&self, now: Now) -> bool {
+        self.lease.held_until(now).is_some()
     }
 
-    /// Gets the change of the lease since this was last asked.
-    pub fn changed(&mut self, now: Now) -> Option<Held> {
-        let held = Held {
+    /// Gets the change of the lease since the last call of this function, if it changed.
+    pub fn changed(&mut self, now: Now) -> Option<LeaseChange> {
+        let held = LeaseChange {
             epoch: self.lease.fleet().epoch,
-            held: self.leased(now),
+            held: self.holds_lease(now),
         };
-        let changed = held.held != self.told.held || (held.held && held != self.told);
+        let changed =
+            held.held != self.last_reported.held || (held.held && held != self.last_reported);
         if changed {
-            self.told = held;
+            self.last_reported = held;
         }
         changed.then_some(held)
     }
@@ -343,14 +356,16 @@
         self.keys.len() == 0
     }
 
-    fn since(&self, key: Key) -> Option<Now> {
-        self.tenure.since(self.me?.tag, key.item())
+    /// Gets the time since which this router has been the only home of the key.
+    fn sole_home_since(&self, key: Key) -> Option<Now> {
+        self.tenure.sole_home_since(self.me?.tag, key.item())
     }
 
-    fn start(&mut self, now: Now, start: Option<Start>) {
-        match start {
-            Some(Start::Linked) => self.tenure.link(now, self.lease.fleet()),
-            Some(Start::Fresh) => self.tenure.restart(now, self.lease.fleet()),
+    /// Updates the tenure after the lease started anew with this continuity; `None` if it did not.
+    fn update_tenure(&mut self, now: Now, continuity: Option<Continuity>) {
+        match continuity {
+            Some(Continuity::Unbroken) => self.tenure.extend(now, self.lease.fleet()),
+            Some(Continuity::Broken) => self.tenure.restart(now, self.lease.fleet()),
             None => {}
         }
     }
--- a/crates/core/src/once/tenure.rs
+++ b/crates/core/src/once/tenure.rs
@@ -1,7 +1,7 @@
-//! Since when this life alone answers for a key.
+//! Records since when this incarnation has been the only home of a key.
 //!
-//! A key that was made before that time may have run at an earlier home, which this one cannot
-//! ask; a key made after it cannot have.
+//! A key created before that time may have run at an earlier home, which this router cannot ask;
+//! a key created after it cannot have run elsewhere.
 
 use std::collections::VecDeque;
 
@@ -15,29 +15,31 @@
     },
 };
 
-/// Epochs in a row over which a tenure is followed back; an older start is dated later than it
-/// was, which refuses more and runs nothing twice.
+/// Most consecutive terms kept. When older ones are dropped, the start of a tenure is taken to be
+/// later than it was: more keys are refused, but none runs twice.
 const MAX_TERMS: usize = 8;
 
-/// Error of the three readings of whole milliseconds that date a tenure.
-const GRAIN: Millis = Millis(3);
+/// Error of the wall-clock start of a tenure, which rests on three clock readings in whole
+/// milliseconds.
+const DATING_ERROR: Millis = Millis(3);
 
+/// `Term` is one epoch under which the lease was held, and the start of that hold.
 #[derive(Debug)]
 struct Term {
     fleet: Fleet,
     since: Now,
 }
 
-/// `Tenure` is the terms, newest last, between which nobody else can have acted.
+/// `Tenure` is the sequence of terms, newest last, between which no other home can have acted.
 #[derive(Debug, Default)]
 pub(super) struct Tenure {
     terms: VecDeque<Term>,
 }
 
 impl Tenure {
-    /// Notes that the lease is held under `fleet` from now on, with no other home between this
-    /// hold and the last.
-    pub(super) fn link(&mut self, now: Now, fleet: &Fleet) {
+    /// Records that the lease is held under `fleet` from now on, and that no other home can have
+    /// acted since the previous term.
+    pub(super) fn extend(&mut self, now: Now, fleet: &Fleet) {
         if self
             .terms
             .back()
@@ -52,30 +54,34 @@
         }
     }
 
-    /// Notes that the lease is held from now on, with who knows what before.
+    /// Records that the lease is held under `fleet` from now on, and that another home may have
+    /// acted before.
     pub(super) fn restart(&mut self, now: Now, fleet: &Fleet) {
         self.terms.clear();
-        self.link(now, fleet);
+        self.extend(now, fleet);
     }
 
-    /// Gets the start of the newest term, before which some of the items may have been another's.
-    pub(super) fn newest(&self) -> Option<Now> {
+    /// Gets the start of the newest term. Before it, another router may have been the home of some
+    /// items.
+    pub(super) fn newest_term_start(&self) -> Option<Now> {
         self.terms.back().map(|term| term.since)
     }
 
-    /// Gets the time since when `me` alone answers for `item`; `None` if it doesn't.
-    pub(super) fn since(&self, me: Tag, item: u64) -> Option<Now> {
+    /// Gets the time since which `me` has been the only home of `item`; `None` if it is not its
+    /// home.
+    pub(super) fn sole_home_since(&self, me: Tag, item: u64) -> Option<Now> {
         let mine = |t: &&Term| t.fleet.home(item) == Some(me);
         let first = self.terms.iter().rev().take_while(mine).last()?;
         Some(first.since)
     }
 }
 
-/// Gets the wall-clock time of `since`. A wall clock that was stepped between then and now gives
-/// two answers, and the later one is taken: it is safe as long as one of the two readings was
-/// right, where a start dated too early would let a key run that an earlier home ran.
-pub(super) fn dated(now: Now, since: Now) -> Wall {
+/// Gets the wall-clock time of `since`: the later of the reading taken then and the present reading
+/// less the monotonic time passed. The two differ if the wall clock was stepped in between; the
+/// later is safe as long as one of the readings was right, whereas a start that is dated too early
+/// would let a key run again that an earlier home ran.
+pub(super) fn latest_wall_time(now: Now, since: Now) -> Wall {
     let span = now.mono.since(since.mono);
     let back = Wall(now.wall.0.saturating_sub(span.0));
-    since.wall.max(back) + GRAIN
+    since.wall.max(back) + DATING_ERROR
 }
--- a/crates/core/tests/once/keys.rs
+++ b/crates/core/tests/once/keys.rs
@@ -4,12 +4,12 @@
 use googletest::prelude::*;
 use toucanturn_core::{
     once::{
-        Begin,
-        MAX_BODY,
+        KeyDecision,
         MAX_KEYS,
         MAX_LEASE,
-        MAX_WAITERS,
-        kept, //
+        MAX_STORED_ANSWER_BYTES,
+        MAX_WAITERS_PER_KEY,
+        promise_duration, //
     },
     request::{
         Answer,
@@ -56,9 +56,9 @@
     }
 }
 
-fn told(begin: Begin) -> Option<(Code, Outcome)> {
+fn told(begin: KeyDecision) -> Option<(Code, Outcome)> {
     match begin {
-        Begin::Refuse(Refusal { code, outcome, .. }) => Some((code, outcome)),
+        KeyDecision::Refuse(Refusal { code, outcome, .. }) => Some((code, outcome)),
         _ => None,
     }
 }
@@ -67,11 +67,11 @@
 fn verify_a_key_runs_once_and_its_answer_is_given_again() {
     let mut rig = five();
     let key = rig.key_of("r1", rig.now.wall, &[&FIVE]);
-    expect_that!(rig.begin("r1", key, 9), eq(&Begin::Run));
-    expect_that!(rig.begin("r1", key, 9), eq(&Begin::Wait));
+    expect_that!(rig.begin("r1", key, 9), eq(&KeyDecision::Run));
+    expect_that!(rig.begin("r1", key, 9), eq(&KeyDecision::Wait));
     let ended = rig.at("r1").home.end(key, Outcome::Done, Some(answer(5)));
     expect_that!(ended.waiters, elements_are![eq(&Call(1))]);
-    expect_that!(rig.begin("r1", key, 9), eq(&Begin::Replay(answer(5))));
+    expect_that!(rig.begin("r1", key, 9), eq(&KeyDecision::Replay(answer(5))));
 }
 
 #[gtest]
@@ -94,7 +94,7 @@
     // Cause: a new life that takes a key which it does not remember for a new one.
     let mut rig = five();
     let key = rig.key_of("r1", rig.now.wall, &[&FIVE]);
-    expect_that!(rig.begin("r1", key, 9), eq(&Begin::Run));
+    expect_that!(rig.begin("r1", key, 9), eq(&KeyDecision::Run));
     rig.restart("r1");
     rig.publish(1, &FIVE, &["r1"]);
     rig.pass(Millis(2 * LEASE.0), open);
@@ -103,7 +103,7 @@
     expect_that!(told(rig.begin("r1", key, 9)), eq(refused));
     let later = rig.key_of("r1", rig.now.wall + SETTLED, &[&FIVE]);
     rig.pass(SETTLED, open);
-    expect_that!(rig.begin("r1", later, 9), eq(&Begin::Run));
+    expect_that!(rig.begin("r1", later, 9), eq(&KeyDecision::Run));
 }
 
 #[gtest]
@@ -121,7 +121,7 @@
     let mut keys = (0..).map(|n| key(ahead, n));
     let moves = |k: &Key| home(*k, &FIVE) == "r5" && home(*k, &next) == "r1";
     let moved = keys.find(moves).unwrap();
-    expect_that!(rig.begin("r5", moved, 9), eq(&Begin::Run));
+    expect_that!(rig.begin("r5", moved, 9), eq(&KeyDecision::Run));
     rig.now.wall = Wall(rig.now.wall.0 - SKEW.0);
     while !rig.holders().contains(&"r1") {
         rig.pass(STEP, cut);
@@ -140,7 +140,7 @@
     rig.begin("r1", key, 9);
     rig.now.wall = rig.now.wall + Millis::from_secs(3700);
     rig.pass(Millis::from_secs(11), open);
-    expect_that!(rig.begin("r1", key, 9), eq(&Begin::Wait));
+    expect_that!(rig.begin("r1", key, 9), eq(&KeyDecision::Wait));
 }
 
 #[gtest]
@@ -204,7 +204,7 @@
     }
     let one_more = rig.begin("r1", key(wall, 1 << 40), 9);
     expect_that!(told(one_more), some(eq((Code::KeysFull, Outcome::NotRun))));
-    expect_that!(rig.begin("r1", key(wall, 0), 9), eq(&Begin::Wait));
+    expect_that!(rig.begin("r1", key(wall, 0), 9), eq(&KeyDecision::Wait));
 }
 
 #[gtest]
@@ -212,7 +212,7 @@
     let mut rig = five();
     let key = rig.key_of("r1", rig.now.wall, &[&FIVE]);
     rig.begin("r1", key, 9);
-    let large = Some(answer(MAX_BODY + 1));
+    let large = Some(answer(MAX_STORED_ANSWER_BYTES + 1));
     rig.at("r1").home.end(key, Outcome::Done, large);
     let gone = Some((Code::AnswerGone, Outcome::Done));
     expect_that!(told(rig.begin("r1", key, 9)), eq(gone));
@@ -223,8 +223,8 @@
     let mut rig = five();
     let key = rig.key_of("r1", rig.now.wall, &[&FIVE]);
     rig.begin("r1", key, 9);
-    for _ in 0..MAX_WAITERS {
-        expect_that!(rig.begin("r1", key, 9), eq(&Begin::Wait));
+    for _ in 0..MAX_WAITERS_PER_KEY {
+        expect_that!(rig.begin("r1", key, 9), eq(&KeyDecision::Wait));
     }
     let refused = Some((Code::KeyInProgress, Outcome::Unknown));
     expect_that!(told(rig.begin("r1", key, 9)), eq(refused));
@@ -238,7 +238,7 @@
     let mut rig = five();
     let key = rig.key_of("r1", rig.now.wall, &[&FIVE]);
     rig.begin("r1", key, 9);
-    rig.at("r1").home.touch(key);
+    rig.at("r1").home.mark_may_have_run(key);
     let ended = rig.at("r1").home.end(key, Outcome::NotRun, None);
     expect_that!(ended.outcome, eq(Outcome::Unknown));
     expect_that!(told(rig.begin("r1", key, 9)), some(anything()));
@@ -253,7 +253,7 @@
     let refused = Some((Code::HomeUnavailable, Outcome::Unknown));
     expect_that!(told(rig.begin("r1", key, 9)), eq(refused));
     rig.pass(LEASE, open);
-    expect_that!(rig.begin("r1", key, 9), eq(&Begin::Run));
+    expect_that!(rig.begin("r1", key, 9), eq(&KeyDecision::Run));
 }
 
 #[gtest]
@@ -270,7 +270,7 @@
         rig.restart(name);
         rig.publish(1, &FIVE, &[name]);
     }
-    rig.pass(Millis(kept(MAX_LEASE).0 + LEASE.0), open);
+    rig.pass(Millis(promise_duration(MAX_LEASE).0 + LEASE.0), open);
     expect_that!(rig.holders().len(), eq(5));
     let refused = Some((Code::KeyExpired, Outcome::Unknown));
     expect_that!(told(rig.begin("r1", key, 9)), eq(refused));
@@ -283,7 +283,7 @@
     let key = rig.key_of("r1", rig.now.wall, &[&FIVE, &next]);
     rig.publish(2, &next, &FIVE);
     rig.pass(Millis(2 * LEASE.0), open);
-    expect_that!(rig.begin("r1", key, 9), eq(&Begin::Run));
+    expect_that!(rig.begin("r1", key, 9), eq(&KeyDecision::Run));
 }
 
 #[gtest]
@@ -297,7 +297,7 @@
     let mut keys = (0..).map(|n| key(wall, n));
     let moves = |k: &Key| home(*k, &FIVE) == "r5" && home(*k, &next) == "r1";
     let moved = keys.find(moves).unwrap();
-    expect_that!(rig.begin("r5", moved, 9), eq(&Begin::Run));
+    expect_that!(rig.begin("r5", moved, 9), eq(&KeyDecision::Run));
     rig.publish(2, &next, &FIVE);
     rig.pass(Millis(2 * LEASE.0), open);
     let refused = Some((Code::KeyExpired, Outcome::Unknown));
@@ -336,7 +336,10 @@
     let key = rig.key_of("r1", wall, &[&FIVE]);
     rig.begin("r1", key, 9);
     let now = rig.now;
-    expect_that!(rig.at("r1").home.may_send(now, key), some(gt(now.mono)));
+    expect_that!(
+        rig.at("r1").home.send_deadline(now, key),
+        some(gt(now.mono))
+    );
     let paused = |a: &str, b: &str| a != "r1" && b != "r1";
     rig.publish(2, &without, &without);
     rig.pass(Millis(2 * LEASE.0), paused);
@@ -344,7 +347,7 @@
     rig.pass(Millis(3 * LEASE.0), open);
     let now = rig.now;
     expect_that!(rig.holders().len(), eq(5));
-    expect_that!(rig.at("r1").home.may_send(now, key), none());
+    expect_that!(rig.at("r1").home.send_deadline(now, key), none());
 }
 
 #[gtest]
@@ -356,10 +359,10 @@
     let key = rig.key_of("r1", rig.now.wall, &[&FIVE]);
     rig.begin("r1", key, 9);
     let now = rig.now;
-    let until = rig.at("r1").home.may_send(now, key);
+    let until = rig.at("r1").home.send_deadline(now, key);
     expect_that!(until, some(le(now.mono + LEASE)));
     let now = now + LEASE;
-    expect_that!(rig.at("r1").home.may_send(now, key), none());
+    expect_that!(rig.at("r1").home.send_deadline(now, key), none());
 }
 
 #[gtest]
@@ -370,13 +373,13 @@
     let mut rig = five();
     let key = rig.key_of("r1", rig.now.wall, &[&FIVE]);
     let now = rig.now;
-    let vouches = |rig: &mut Rig, name: &str| {
+    let proves_not_run = |rig: &mut Rig, name: &str| {
         let router = rig.at(name);
         let config = router.config();
-        router.home.vouches(now, &config, key)
+        router.home.proves_not_run(now, &config, key)
     };
-    expect_that!(vouches(&mut rig, "r1"), eq(true));
-    expect_that!(vouches(&mut rig, "r2"), eq(false));
+    expect_that!(proves_not_run(&mut rig, "r1"), eq(true));
+    expect_that!(proves_not_run(&mut rig, "r2"), eq(false));
     rig.begin("r1", key, 9);
-    expect_that!(vouches(&mut rig, "r1"), eq(false));
+    expect_that!(proves_not_run(&mut rig, "r1"), eq(false));
 }
--- a/crates/core/tests/once/lease.rs
+++ b/crates/core/tests/once/lease.rs
@@ -15,7 +15,7 @@
     once::{
         Fleet,
         MAX_LEASE,
-        kept, //
+        promise_duration, //
     },
     units::{
         Incarnation,
@@ -66,10 +66,10 @@
     for (to, _) in asks.iter().take(3) {
         rig.at("r1")
             .home
-            .voted(late, *to, Incarnation(1), (Revision(1), 1), yes());
+            .record_vote(late, *to, Incarnation(1), (Revision(1), 1), yes());
     }
-    expect_that!(rig.at("r1").home.leased(late), eq(true));
-    expect_that!(rig.at("r1").home.leased(asked + LEASE), eq(false));
+    expect_that!(rig.at("r1").home.holds_lease(late), eq(true));
+    expect_that!(rig.at("r1").home.holds_lease(asked + LEASE), eq(false));
 }
 
 #[gtest]
@@ -86,7 +86,7 @@
     rig.publish(1, &three, &["r2", "r3"]);
     rig.pass(Millis(MAX_LEASE.0 - 100), open);
     expect_that!(rig.holders(), is_empty());
-    rig.pass(kept(MAX_LEASE), open);
+    rig.pass(promise_duration(MAX_LEASE), open);
     expect_that!(rig.holders().len(), eq(3));
 }
 
@@ -134,9 +134,15 @@
     expect_that!(ask(now, 1), eq(true));
     expect_that!(ask(now + LEASE, 2), eq(false));
     expect_that!(ask(now + LEASE, 1), eq(false));
-    expect_that!(ask(now + kept(LEASE), 2), eq(true));
-    expect_that!(ask(now + kept(LEASE), 1), eq(false));
-    expect_that!(ask(now + kept(MAX_LEASE) + kept(MAX_LEASE), 1), eq(false));
+    expect_that!(ask(now + promise_duration(LEASE), 2), eq(true));
+    expect_that!(ask(now + promise_duration(LEASE), 1), eq(false));
+    expect_that!(
+        ask(
+            now + promise_duration(MAX_LEASE) + promise_duration(MAX_LEASE),
+            1
+        ),
+        eq(false)
+    );
 }
 
 #[gtest]
@@ -185,7 +191,7 @@
         vote.confirmed
     };
     expect_that!(ask(now + Millis(6000)), eq(false));
-    expect_that!(ask(now + kept(Millis(6000))), eq(true));
+    expect_that!(ask(now + promise_duration(Millis(6000))), eq(true));
 }
 
 #[gtest]
@@ -205,9 +211,9 @@
         let round = (Revision(1), 1);
         rig.at("r1")
             .home
-            .voted(second, *to, Incarnation(1), round, yes());
+            .record_vote(second, *to, Incarnation(1), round, yes());
     }
-    expect_that!(rig.at("r1").home.leased(second), eq(false));
+    expect_that!(rig.at("r1").home.holds_lease(second), eq(false));
 }
 
 #[gtest]
@@ -218,7 +224,7 @@
     let mut rig = Rig::new(&SEVEN);
     rig.add("r8");
     rig.publish(1, &SEVEN, &SEVEN);
-    rig.pass(kept(MAX_LEASE), open);
+    rig.pass(promise_duration(MAX_LEASE), open);
     let next = ["r2", "r3", "r4", "r5", "r6", "r7", "r8"];
     rig.publish(2, &next, &["r5", "r6", "r7", "r8"]);
     rig.pass(Millis(3 * MAX_LEASE.0), split);
@@ -227,7 +233,7 @@
         elements_are![eq(&"r1"), eq(&"r2"), eq(&"r3"), eq(&"r4")]
     );
     rig.publish(2, &next, &["r2", "r3", "r4"]);
-    rig.pass(kept(MAX_LEASE), open);
+    rig.pass(promise_duration(MAX_LEASE), open);
     expect_that!(rig.holders(), is_empty());
     rig.pass(LEASE, open);
     expect_that!(rig.holders().len(), eq(7));
@@ -241,7 +247,7 @@
     let mut rig = Rig::new(&SEVEN);
     rig.add("r8");
     rig.publish(1, &SEVEN, &SEVEN);
-    rig.pass(kept(MAX_LEASE), open);
+    rig.pass(promise_duration(MAX_LEASE), open);
     let next = ["r2", "r3", "r4", "r5", "r6", "r7", "r8"];
     rig.publish(2, &next, &["r5"]);
     for name in ["r6", "r7", "r8"] {
@@ -265,8 +271,11 @@
         Fleet::of(store.current())
     };
     let old = made(&["r1", "r2", "r3"]);
-    expect_that!(old.overlaps(&made(&["r1", "r2", "r3"])), eq(true));
-    expect_that!(old.overlaps(&made(&["r1@2", "r2@2", "r3"])), eq(false));
+    expect_that!(old.quorums_intersect(&made(&["r1", "r2", "r3"])), eq(true));
+    expect_that!(
+        old.quorums_intersect(&made(&["r1@2", "r2@2", "r3"])),
+        eq(false)
+    );
 }
 
 #[gtest]
@@ -297,7 +306,7 @@
         for b in 1..64u32 {
             let apart =
                 (1..64).any(|x| majority(x, a) && (1..64).any(|y| majority(y, b) && x & y == 0));
-            let says = fleets[a as usize - 1].overlaps(&fleets[b as usize - 1]);
+            let says = fleets[a as usize - 1].quorums_intersect(&fleets[b as usize - 1]);
             expect_that!(says, eq(!apart), "fleets {a:b} and {b:b}");
         }
     }
--- a/crates/core/tests/once/rig.rs
+++ b/crates/core/tests/once/rig.rs
@@ -17,11 +17,11 @@
         Tag, //
     },
     once::{
-        Begin,
         Home,
+        KeyDecision,
         MAX_LEASE,
         Vote,
-        kept, //
+        promise_duration, //
     },
     peer::{
         Change,
@@ -136,7 +136,7 @@
         for name in names {
             rig.add(name);
         }
-        rig.now = START + kept(MAX_LEASE);
+        rig.now = START + promise_duration(MAX_LEASE);
         rig
     }
 
@@ -216,13 +216,15 @@
             let vote = voter.home.vote(now, &theirs, from, life, (epoch, lease));
             let voter = Incarnation(voter.life);
             let round = (theirs.epoch, round);
-            self.routers[index].home.voted(now, to, voter, round, vote);
+            self.routers[index]
+                .home
+                .record_vote(now, to, voter, round, vote);
         }
     }
 
     /// Lists the routers that hold their lease.
     pub(crate) fn holders(&self) -> Vec<&'static str> {
-        let held = |r: &&Router| r.home.leased(self.now);
+        let held = |r: &&Router| r.home.holds_lease(self.now);
         self.routers.iter().filter(held).map(|r| r.name).collect()
     }
 
@@ -234,7 +236,7 @@
     }
 
     /// Asks a router to begin a call.
-    pub(crate) fn begin(&mut self, name: &str, key: Key, content: u64) -> Begin {
+    pub(crate) fn begin(&mut self, name: &str, key: Key, content: u64) -> KeyDecision {
         let now = self.now;
         let router = self.at(name);
         let config = router.config();
