--- a/crates/core/examples/bench_orders.rs
+++ b/crates/core/examples/bench_orders.rs
@@ -15,9 +15,9 @@
     event::Report,
     ids::Id,
     membership::{
-        Seen,
+        Observation,
+        SelfReport,
         View,
-        Word,
         pollers, //
     },
     orders::{
@@ -87,13 +87,13 @@
             now = now + Millis(500);
             own = 0;
             for (key, endpoint) in config.endpoints.iter() {
-                let word = Word {
+                let self_report = SelfReport {
                     life: Some(Incarnation(1)),
                     leaving: false,
-                    seen: Seen::Reached,
+                    seen: Observation::Reached,
                     since: Some(now),
                 };
-                view.word(now, key, word);
+                view.self_report(now, key, self_report);
                 if pollers::rank(&config, me, endpoint) == Some(0) {
                     own += 1;
                     orders.report(now, key, &report);
--- a/crates/core/examples/bench_place.rs
+++ b/crates/core/examples/bench_place.rs
@@ -20,9 +20,9 @@
     },
     load::Table,
     membership::{
-        Seen,
+        Observation,
+        SelfReport, //
         View,
-        Word, //
     },
     peer::{
         Change,
@@ -98,13 +98,13 @@
     let keys: Vec<EndpointKey> = config.endpoints.iter().map(|(key, _)| key).collect();
     let mut rng = StdRng::seed_from_u64(1);
     for key in &keys {
-        let answer = Word {
+        let answer = SelfReport {
             life: Some(Incarnation(1)),
             leaving: false,
-            seen: Seen::Answered,
+            seen: Observation::Answered,
             since: Some(NOW),
         };
-        view.word(NOW, *key, answer);
+        view.self_report(NOW, *key, answer);
         for _ in 0..rng.random_range(8..12) {
             loads.sent(NOW, *key);
         }
--- a/crates/core/examples/measure_membership.rs
+++ b/crates/core/examples/measure_membership.rs
@@ -15,9 +15,9 @@
     ids::Id,
     membership::{
         damping::{
+            DEFAULT_PARAMS,
+            DampingParams, //
             Penalty,
-            RULE,
-            Rule, //
         },
         pollers, //
     },
@@ -45,7 +45,7 @@
 /// Runs an endpoint that is `up` ms up and `down` ms down for five minutes and then stays up, as
 /// one of twelve that share 20 requests a second. Gives requests that met it down and the time
 /// after its last return at which it is trusted.
-fn flapping(rule: Rule, up: u64, down: u64) -> (u64, u64) {
+fn flapping(rule: DampingParams, up: u64, down: u64) -> (u64, u64) {
     let mut penalty = Penalty::new(rule);
     let (mut failed, mut trusted_at) = (0, None);
     let end = 300_000;
@@ -75,13 +75,13 @@
 }
 
 fn damping() {
-    let with = |half: u64| Rule {
+    let with = |half: u64| DampingParams {
         half_life: Millis::from_secs(half),
-        ..RULE
+        ..DEFAULT_PARAMS
     };
-    let never = Rule {
+    let never = DampingParams {
         suppress: u32::MAX,
-        ..RULE
+        ..DEFAULT_PARAMS
     };
     let ways = [
         ("no damping", never),
--- a/crates/core/src/membership/link.rs
+++ b/crates/core/src/membership/link.rs
@@ -1,42 +1,43 @@
-//! Tells a fault of this router's own link from faults of endpoints.
+//! Distinguishes a fault of this router's own network link from faults of endpoints.
 //!
-//! One endpoint that can't be reached is at fault; when most of all that this router is in touch
-//! with, peers included, fail together, the common part is its own link. Then nobody is counted as
-//! down: all become suspect and are probed, so that work goes on where anything still answers.
+//! If a single endpoint cannot be reached, the endpoint is at fault. If most of the endpoints and
+//! peers that this router contacts fail together, their common part is this router's link. Then no
+//! endpoint is counted as down: all become suspect and are probed, so that requests still go to
+//! those that answer.
 
 use crate::units::{
     Millis,
     Time, //
 };
 
-/// Time for which the last contact counts; longer than the slowest probes are apart.
-pub const WINDOW: Millis = Millis::from_secs(20);
+/// Time for which a contact counts. It is longer than the longest interval between probes.
+pub const CONTACT_WINDOW: Millis = Millis::from_secs(20);
 
-/// Fewest contacts that must fail for a fault of the link.
-pub const MIN_FAILING: usize = 3;
+/// Fewest failing contacts from which a link fault is concluded.
+pub const MIN_FAILING_CONTACTS: usize = 3;
 
-/// Time in which one fault of the link takes endpoints down one after the other, before most have
-/// failed and it is recognised. Their fall is then taken back.
-pub const ONSET: Millis = Millis::from_secs(5);
+/// Time in which a link fault may take endpoints down one after the other before most have failed
+/// and the fault is recognised. Endpoints that went down in this time are then counted as up again.
+pub const FAULT_ONSET: Millis = Millis::from_secs(5);
 
-/// `Contact` is when this router last reached another party, and when it last failed to.
+/// `Contact` is when this router last reached an endpoint or a peer, and when it last failed to.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Contact {
     pub(super) good: Option<Time>,
     pub(super) bad: Option<Time>,
 }
 
-/// `Tally` counts contacts by how the last one went.
+/// `ContactTally` counts endpoints and peers by whether the last contact succeeded.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Tally {
+pub(super) struct ContactTally {
     good: usize,
     bad: usize,
 }
 
-impl Tally {
-    /// Counts one contact.
-    pub(super) fn add(&mut self, now: Time, contact: Contact) {
-        let recent = |t: &Option<Time>| t.is_some_and(|t| now.since(t) <= WINDOW);
+impl ContactTally {
+    /// Counts one endpoint or peer, if it was contacted within [`CONTACT_WINDOW`].
+    pub(super) fn count(&mut self, now: Time, contact: Contact) {
+        let recent = |t: &Option<Time>| t.is_some_and(|t| now.since(t) <= CONTACT_WINDOW);
         if recent(&contact.bad) && contact.bad > contact.good {
             self.bad += 1;
         } else if recent(&contact.good) {
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Tells whether most failed.
-    pub(super) fn fault(self) -> bool {
-        self.bad >= MIN_FAILING && self.bad > self.good
+    /// Tells whether most failed, and at least [`MIN_FAILING_CONTACTS`].
+    pub(super) fn indicates_link_fault(self) -> bool {
+        self.bad >= MIN_FAILING_CONTACTS && self.bad > self.good
     }
 }
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! One endpoint in a router's view: its life, its health and how sure the router is of both.
+//! One endpoint in a router's view: its incarnation, its health, and when both were last confirmed.
 
 use std::{
     net::SocketAddr,
@@ -6,8 +6,8 @@
 };
 
 use super::{
-    FRESH,
-    Seen,
+    MAX_CONFIRMATION_AGE,
+    Observation,
     State,
     damping::Penalty,
     link::Contact, //
@@ -22,130 +22,134 @@
     },
 };
 
-/// Score at which an endpoint counts as down.
-const DOWN_AT: u32 = 6;
+/// Failure score at which an endpoint counts as down.
+const DOWN_SCORE: u32 = 6;
 
-/// Score of a refused connection or a 503: three in a row are enough.
-const REFUSED: u32 = 2;
+/// Score of a refused connection or a 503: three in a row take the endpoint down.
+const REFUSED_SCORE: u32 = 2;
 
-/// Score of a failed probe on a new connection: two in a row are enough.
-const UNREACHED: u32 = 3;
+/// Score of a failed probe on a new connection: two in a row take the endpoint down.
+const UNREACHED_SCORE: u32 = 3;
 
-/// Score of requests without progress: three are enough, [`STRIKE_GAP`] apart.
-const SILENT: u32 = 2;
+/// Score of a strike, that is of requests without progress: three strikes, at least
+/// [`MIN_STRIKE_INTERVAL`] apart, take the endpoint down.
+const SILENT_SCORE: u32 = 2;
 
-/// Time in which silent requests count once. One middlebox that loses its table silences all open
-/// connections together while new ones work; that is one fault, not many.
-const STRIKE_GAP: Millis = Millis(1000);
+/// Shortest time between two strikes. When a middlebox loses its connection table, all open
+/// connections fall silent together while new ones work; that is one fault, not many.
+const MIN_STRIKE_INTERVAL: Millis = Millis(1000);
 
-/// Time for which a request without progress is held against an endpoint that answers probes.
-const STRIKE_MEMORY: Millis = Millis::from_secs(30);
+/// Time for which a strike counts against an endpoint that answers probes.
+const STRIKE_EXPIRY: Millis = Millis::from_secs(30);
 
-/// Time after which an endpoint that the VM list named and no longer names is kept in reserve.
-/// Lists lag and differ, so to be missing is no proof of leaving.
+/// Time after which an endpoint that the VM list named and no longer names counts as suspect. Lists
+/// lag and differ, so a missing entry does not prove that the endpoint is leaving.
 pub const MISSING_AFTER: Millis = Millis::from_secs(30);
 
-/// Shortest time between two probes of an endpoint that is down; doubles up to [`PROBE_MAX`].
-const PROBE_MIN: Millis = Millis(500);
+/// Shortest interval between two probes of an endpoint that is down; it doubles with failed probes
+/// up to [`MAX_PROBE_INTERVAL`].
+const MIN_PROBE_INTERVAL: Millis = Millis(500);
 
-/// Longest time between two polls by an endpoint's first poller.
-const POLL_MAX: Millis = Millis::from_secs(2);
+/// Longest interval between two polls by an endpoint's first poller while polls fail.
+const MAX_POLL_INTERVAL: Millis = Millis::from_secs(2);
 
-/// Longest time between two probes of an endpoint that is down, so none is lost for ever.
-pub const PROBE_MAX: Millis = Millis::from_secs(8);
+/// Longest interval between two probes of an endpoint that is down. It is bounded so that every
+/// endpoint is found again when it recovers.
+pub const MAX_PROBE_INTERVAL: Millis = Millis::from_secs(8);
 
-/// Time after which the driver gives up a poll or probe and says that it failed.
+/// Time after which the driver gives up a poll or probe and reports it as failed.
 pub const POLL_TIMEOUT: Millis = Millis(1000);
 
-/// `Listed` is what the VM list last said of an endpoint.
+/// `Listing` is what the VM list last said of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Listed {
+pub(super) struct Listing {
     /// When the list was made.
-    pub(super) date: Time,
-    /// Its word; `None` when it no longer named the endpoint.
+    pub(super) made_at: Time,
+    /// The listed state; `None` if the list no longer named the endpoint.
     pub(super) state: Option<VmState>,
 }
 
-/// `Member` is one endpoint.
+/// `EndpointRecord` is what this router knows of one endpoint.
 ///
 /// # Invariants
 ///
-/// `leaving` goes back to false only together with a greater `life`.
+/// `leaving` goes back to false only together with a greater `incarnation`.
 #[derive(Clone, Debug)]
-pub(super) struct Member {
+pub(super) struct EndpointRecord {
     pub(super) address: SocketAddr,
-    pub(super) life: Incarnation,
-    /// When this life was first seen to follow another.
-    pub(super) born: Time,
-    /// Whether the endpoint states its life when it is polled. One that states it only in answers
-    /// to requests can't say that a next life began, as it gets no request while it is leaving.
-    pub(super) stated: bool,
+    pub(super) incarnation: Incarnation,
+    /// When this incarnation was first seen to follow another.
+    pub(super) restarted_at: Time,
+    /// Whether the endpoint states its incarnation when it is polled. One that states it only in
+    /// answers to requests cannot announce its next incarnation, as it gets no requests while it is
+    /// leaving.
+    pub(super) states_incarnation: bool,
     pub(super) leaving: bool,
-    /// When this life last said itself that it is leaving.
-    own_left: Option<Time>,
-    /// Whether a poll, of any life, has said that the endpoint is leaving.
-    polls_tell: bool,
-    /// When it was last known not to be leaving, by its own word.
-    pub(super) sure: Option<Time>,
-    /// Word from before this moment doesn't count.
-    pub(super) doubt: Option<Time>,
-    /// Failures to reach it in a row.
-    reach: u32,
-    /// Requests that it left unanswered.
-    work: u32,
-    struck: Option<Time>,
+    /// When this incarnation itself last said that it is leaving.
+    said_leaving_at: Option<Time>,
+    /// Whether a poll, of any incarnation, has been answered that the endpoint is leaving.
+    polls_report_leaving: bool,
+    /// When the endpoint last confirmed that it is not leaving.
+    pub(super) last_confirmed: Option<Time>,
+    /// Confirmations from before this time don't count.
+    pub(super) reconfirm_after: Option<Time>,
+    /// Score of consecutive failures to reach the endpoint.
+    reach_score: u32,
+    /// Score of requests without progress.
+    request_score: u32,
+    last_strike: Option<Time>,
     down: bool,
-    downed: Time,
+    down_since: Time,
     pub(super) contact: Contact,
     pub(super) penalty: Penalty,
-    pub(super) listed: Option<Listed>,
-    pub(super) missing: Option<Time>,
-    /// When the poll or probe that is still out was sent.
-    out: Option<Time>,
-    /// When the last one was sent.
-    asked: Option<Time>,
-    misses: u32,
-    /// This router's place among the endpoint's pollers.
+    pub(super) listed: Option<Listing>,
+    pub(super) missing_since: Option<Time>,
+    /// When the poll or probe that is still unanswered was sent.
+    poll_sent_at: Option<Time>,
+    /// When the last poll or probe was sent.
+    last_poll_at: Option<Time>,
+    failed_polls: u32,
+    /// This router's rank among the endpoint's pollers.
     pub(super) rank: usize,
-    /// The endpoint as it was when it was ranked.
-    pub(super) ranked: Option<Arc<Endpoint>>,
-    pub(super) added: Time,
-    /// State last given to the node.
-    pub(super) given: State,
+    /// The configured endpoint for which `rank` was computed.
+    pub(super) ranked_endpoint: Option<Arc<Endpoint>>,
+    pub(super) added_at: Time,
+    /// State last reported to the node.
+    pub(super) reported_state: State,
 }
 
-impl Member {
+impl EndpointRecord {
     pub(super) fn new(endpoint: &Endpoint, now: Time) -> Self {
         Self {
             address: endpoint.address,
-            life: Incarnation(0),
-            born: Time(0),
-            stated: false,
+            incarnation: Incarnation(0),
+            restarted_at: Time(0),
+            states_incarnation: false,
             leaving: false,
-            own_left: None,
-            polls_tell: false,
-            sure: None,
-            doubt: None,
-            reach: 0,
-            work: 0,
-            struck: None,
+            said_leaving_at: None,
+            polls_report_leaving: false,
+            last_confirmed: None,
+            reconfirm_after: None,
+            reach_score: 0,
+            request_score: 0,
+            last_strike: None,
             down: false,
-            downed: now,
+            down_since: now,
             contact: Contact::default(),
             penalty: Penalty::default(),
             listed: None,
-            missing: None,
-            out: None,
-            asked: None,
-            misses: 0,
+            missing_since: None,
+            poll_sent_at: None,
+            last_poll_at: None,
+            failed_polls: 0,
             rank: 0,
-            ranked: None,
-            added: now,
-            given: State::Suspect,
+            ranked_endpoint: None,
+            added_at: now,
+            reported_state: State::Suspect,
         }
     }
 
-    /// Gets the state, worked out from what is known.
+    /// Gets the state that follows from what is known.
     pub(super) fn state(&self, now: Time) -> State {
         if self.leaving {
             return State::Leaving;
@@ -153,242 +157,268 @@
         if self.down || self.stale(now) {
             return State::Down;
         }
-        let missing = self.missing.is_some_and(|t| now.since(t) >= MISSING_AFTER);
-        let doubtful = self.sure.is_none()
-            || self.reach > 0
-            || self.struck_lately(now)
-            || missing
+        let is_missing = self
+            .missing_since
+            .is_some_and(|t| now.since(t) >= MISSING_AFTER);
+        let is_suspect = self.last_confirmed.is_none()
+            || self.reach_score > 0
+            || self.has_recent_strike(now)
+            || is_missing
             || self.penalty.suppressed(now);
-        if doubtful {
+        if is_suspect {
             State::Suspect
         } else {
             State::Live
         }
     }
 
-    /// Tells whether the endpoint may have been leaving for [`FRESH`] without this router knowing.
-    /// One that was never heard is not stale but suspect, or a fleet could not start.
+    /// Tells whether the endpoint may have been leaving for longer than [`MAX_CONFIRMATION_AGE`]
+    /// without this router knowing. One that has never confirmed is suspect and not stale;
+    /// otherwise a fleet could not start.
     pub(super) fn stale(&self, now: Time) -> bool {
-        match (self.sure, self.doubt) {
+        match (self.last_confirmed, self.reconfirm_after) {
             (None, None) => false,
             (None, Some(_)) => true,
-            (Some(sure), _) => now.since(sure) > FRESH || self.doubted(),
+            (Some(at), _) => now.since(at) > MAX_CONFIRMATION_AGE || self.needs_reconfirmation(),
         }
     }
 
-    /// Notes that it was known not to be leaving at `at`.
+    /// Records that the endpoint was not leaving at `at`.
     pub(super) fn confirm(&mut self, at: Time) {
-        self.sure = self.sure.max(Some(at));
+        self.last_confirmed = self.last_confirmed.max(Some(at));
     }
 
-    /// Starts a later life.
-    pub(super) fn begin(&mut self, now: Time, life: Incarnation) {
-        let crashed = self.life != Incarnation(0) && !self.leaving && self.sure.is_some();
+    /// Replaces the incarnation by a later one. If the one before had confirmed that it is not
+    /// leaving and never said otherwise, it has crashed, which counts as a flap unless the endpoint
+    /// is down already.
+    pub(super) fn start_incarnation(&mut self, now: Time, incarnation: Incarnation) {
+        let crashed =
+            self.incarnation != Incarnation(0) && !self.leaving && self.last_confirmed.is_some();
         if crashed && !self.down {
             self.penalty.flap(now);
         }
-        self.born = if self.life == Incarnation(0) && !self.leaving {
+        self.restarted_at = if self.incarnation == Incarnation(0) && !self.leaving {
             Time(0)
         } else {
             now
         };
-        self.life = life;
+        self.incarnation = incarnation;
         self.leaving = false;
-        self.own_left = None;
-        self.sure = None;
-        self.reach = 0;
-        self.work = 0;
-        self.misses = 0;
+        self.said_leaving_at = None;
+        self.last_confirmed = None;
+        self.reach_score = 0;
+        self.request_score = 0;
+        self.failed_polls = 0;
         self.down = false;
     }
 
-    /// Notes that it said itself that it is leaving, in the answer to a poll or to a request.
-    pub(super) fn said_leaving(&mut self, now: Time, seen: Seen) {
-        self.own_left = Some(now);
-        self.polls_tell |= seen == Seen::Reached;
+    /// Records that the endpoint itself said that it is leaving, in the answer to a poll or a
+    /// request.
+    pub(super) fn note_said_leaving(&mut self, now: Time, seen: Observation) {
+        self.said_leaving_at = Some(now);
+        self.polls_report_leaving |= seen == Observation::Reached;
     }
 
-    /// Notes that a life is leaving, the present one or a later one.
-    pub(super) fn leave(&mut self, life: Incarnation) {
-        if life > self.life {
-            self.own_left = None;
+    /// Records that an incarnation is leaving, the present one or a later one.
+    pub(super) fn mark_leaving(&mut self, incarnation: Incarnation) {
+        if incarnation > self.incarnation {
+            self.said_leaving_at = None;
         }
-        self.life = life;
+        self.incarnation = incarnation;
         self.leaving = true;
     }
 
-    /// Tells whether a poll sent at `since`, whose answer says neither that the endpoint is leaving
-    /// nor which life it is, shows a next life.
+    /// Tells whether a poll sent at `asked_at`, whose answer says neither that the endpoint is
+    /// leaving nor which incarnation it is, proves that the endpoint has restarted.
     ///
-    /// An endpoint whose polls never state a life would otherwise stay out for good after one
-    /// restart, which shows as requests refused with `no_endpoint` while it serves. Nothing is
-    /// shown where its polls don't tell that it is leaving, or such a leaving would end at once, and
-    /// nothing against a peer or a VM list, which may know more than its process.
-    pub(super) fn back_unstated(&self, since: Time) -> bool {
-        let list_agrees = self.listed.and_then(|l| l.state) == Some(VmState::Leaving);
-        let said = self.own_left.is_some_and(|left| since >= left);
-        self.leaving && self.polls_tell && said && !list_agrees
+    /// Without this rule an endpoint whose polls never state an incarnation would get no requests
+    /// after its first restart: they would be refused with `no_endpoint` although it serves. The
+    /// answer proves nothing if the endpoint's polls don't report leaving, since the leaving state
+    /// would then end at once. Nor does it prove anything if a peer or a VM list says that the
+    /// endpoint is leaving, since they may know more than its process.
+    pub(super) fn proves_restart(&self, asked_at: Time) -> bool {
+        let listed_as_leaving = self.listed.and_then(|l| l.state) == Some(VmState::Leaving);
+        let said_before = self.said_leaving_at.is_some_and(|left| asked_at >= left);
+        self.leaving && self.polls_report_leaving && said_before && !listed_as_leaving
     }
 
-    /// Gets the number that counts up from this life, for a next one that is not stated. Peers
-    /// that still spread that this life is leaving are then not believed.
-    pub(super) fn next_life(&self) -> Incarnation {
-        Incarnation(self.life.0.saturating_add(1))
+    /// Gets the number after this incarnation, for a next incarnation that is not stated. With the
+    /// greater number, peers that still report this incarnation as leaving are ignored.
+    pub(super) fn next_incarnation(&self) -> Incarnation {
+        Incarnation(self.incarnation.0.saturating_add(1))
     }
 
-    /// Notes that a request was answered.
+    /// Records that a request was answered.
     pub(super) fn answered(&mut self, now: Time) {
-        self.work = 0;
+        self.request_score = 0;
         self.reached(now);
     }
 
-    /// Notes that a poll or probe was answered. It doesn't clear what requests have shown: an
-    /// endpoint that answers probes and no request comes back on trial, one strike from down.
+    /// Records that a poll or probe was answered. This does not clear the score of requests: an
+    /// endpoint that answers probes but no requests is used again, but one more strike takes it
+    /// down.
     pub(super) fn reached(&mut self, now: Time) {
         self.contact.good = Some(now);
-        self.reach = 0;
-        self.misses = 0;
+        self.reach_score = 0;
+        self.failed_polls = 0;
         self.down = false;
-        self.work = self.work.min(DOWN_AT - SILENT);
+        self.request_score = self.request_score.min(DOWN_SCORE - SILENT_SCORE);
     }
 
-    /// Notes a refusal.
+    /// Records a connection that could not be made, or a 503.
     pub(super) fn refused(&mut self, now: Time) {
         self.contact.bad = Some(now);
-        self.reach = (self.reach + REFUSED).min(DOWN_AT);
+        self.reach_score = (self.reach_score + REFUSED_SCORE).min(DOWN_SCORE);
     }
 
-    /// Notes a failed poll or probe.
+    /// Records a failed poll or probe.
     pub(super) fn unreached(&mut self, now: Time) {
         self.contact.bad = Some(now);
-        self.reach = (self.reach + UNREACHED).min(DOWN_AT);
-        self.misses = self.misses.saturating_add(1);
+        self.reach_score = (self.reach_score + UNREACHED_SCORE).min(DOWN_SCORE);
+        self.failed_polls = self.failed_polls.saturating_add(1);
     }
 
-    /// Notes a request without progress.
+    /// Records a request without progress, which is a strike unless the last one was just before.
     pub(super) fn silent(&mut self, now: Time) {
         self.contact.bad = Some(now);
-        if !self.struck_lately(now) {
-            self.work = 0;
+        if !self.has_recent_strike(now) {
+            self.request_score = 0;
         }
-        if self.struck.is_none_or(|t| now.since(t) >= STRIKE_GAP) {
-            self.struck = Some(now);
-            self.work = (self.work + SILENT).min(DOWN_AT);
+        if self
+            .last_strike
+            .is_none_or(|t| now.since(t) >= MIN_STRIKE_INTERVAL)
+        {
+            self.last_strike = Some(now);
+            self.request_score = (self.request_score + SILENT_SCORE).min(DOWN_SCORE);
         }
     }
 
-    /// Tells whether it has just failed often enough to count as down.
-    pub(super) fn failed(&self) -> bool {
-        !self.down && !self.leaving && (self.reach >= DOWN_AT || self.work >= DOWN_AT)
+    /// Tells whether a score has reached [`DOWN_SCORE`] and the endpoint is not yet counted as
+    /// down.
+    pub(super) fn reached_down_score(&self) -> bool {
+        !self.down
+            && !self.leaving
+            && (self.reach_score >= DOWN_SCORE || self.request_score >= DOWN_SCORE)
     }
 
-    /// Counts it as down.
-    pub(super) fn fall(&mut self, now: Time) {
+    /// Counts the endpoint as down.
+    pub(super) fn mark_down(&mut self, now: Time) {
         self.down = true;
-        self.downed = now;
+        self.down_since = now;
         self.penalty.flap(now);
     }
 
-    /// Takes back that it is down or nearly so: the fault was this router's link.
-    pub(super) fn excuse(&mut self, now: Time) {
+    /// Counts the endpoint as up again and keeps its scores below [`DOWN_SCORE`], because the fault
+    /// was this router's link.
+    pub(super) fn undo_down(&mut self, now: Time) {
         if self.down {
             self.down = false;
-            self.penalty.forgive(now);
+            self.penalty.remove_flap(now);
         }
-        self.reach = self.reach.min(DOWN_AT - 1);
-        self.work = self.work.min(DOWN_AT - 1);
+        self.reach_score = self.reach_score.min(DOWN_SCORE - 1);
+        self.request_score = self.request_score.min(DOWN_SCORE - 1);
     }
 
-    /// Tells whether it fell within `span`.
-    pub(super) fn fell_within(&self, now: Time, span: Millis) -> bool {
-        self.down && now.since(self.downed) <= span
+    /// Tells whether the endpoint is down and went down within the last `span`.
+    pub(super) fn went_down_within(&self, now: Time, span: Millis) -> bool {
+        self.down && now.since(self.down_since) <= span
     }
 
     /// Tells whether a probe on a new connection is due.
     pub(super) fn probe_due(&self, now: Time) -> bool {
-        let blamed = self.contact.bad > self.contact.good;
-        let wanted = self.down || blamed;
-        wanted && !self.leaving && self.may_ask(now) && self.rested(now, self.probe_wait())
+        let last_contact_failed = self.contact.bad > self.contact.good;
+        let wanted = self.down || last_contact_failed;
+        wanted
+            && !self.leaving
+            && self.may_poll(now)
+            && self.interval_passed(now, self.probe_interval())
     }
 
-    /// Tells whether a poll is due at a router that polls when news is `patience` old.
-    pub(super) fn poll_due(&self, now: Time, patience: Millis) -> bool {
-        if !self.may_ask(now) {
+    /// Tells whether a poll is due at a router that polls when the last confirmation is
+    /// `poll_after_age` old.
+    pub(super) fn poll_due(&self, now: Time, poll_after_age: Millis) -> bool {
+        if !self.may_poll(now) {
             return false;
         }
-        if self.doubted() && self.asked < self.doubt {
+        if self.needs_reconfirmation() && self.last_poll_at < self.reconfirm_after {
             return true;
         }
         if self.rank == 0 {
-            let slowed = self.probe_wait().min(POLL_MAX);
-            let patience = if self.misses > 0 {
-                patience.max(slowed)
+            let slowed = self.probe_interval().min(MAX_POLL_INTERVAL);
+            let poll_after_age = if self.failed_polls > 0 {
+                poll_after_age.max(slowed)
             } else {
-                patience
+                poll_after_age
             };
-            return self.rested(now, patience);
+            return self.interval_passed(now, poll_after_age);
         }
-        let old = now.since(self.sure.unwrap_or(self.added)) >= patience;
-        let wait = if self.leaving {
-            // Only to find its next life when the first poller does not.
-            PROBE_MAX
+        let is_old = now.since(self.last_confirmed.unwrap_or(self.added_at)) >= poll_after_age;
+        let interval = if self.leaving {
+            // These polls only serve to find its next incarnation if the first poller does not.
+            MAX_PROBE_INTERVAL
         } else {
-            self.probe_wait()
+            self.probe_interval()
         };
-        old && self.rested(now, wait)
+        is_old && self.interval_passed(now, interval)
     }
 
-    /// Notes that a poll or probe was sent.
-    pub(super) fn ask(&mut self, now: Time) {
-        self.out = Some(now);
-        self.asked = Some(now);
+    /// Records that a poll or probe was sent.
+    pub(super) fn poll_sent(&mut self, now: Time) {
+        self.poll_sent_at = Some(now);
+        self.last_poll_at = Some(now);
     }
 
-    /// Notes that the poll or probe that was out ended; gives when it was sent.
-    pub(super) fn told(&mut self) -> Option<Time> {
-        self.out.take()
+    /// Records that the unanswered poll or probe ended; gives when it was sent.
+    pub(super) fn take_outstanding_poll(&mut self) -> Option<Time> {
+        self.poll_sent_at.take()
     }
 
-    /// Forgets what was out before a pause: its answer, if it still comes, may be as old.
-    pub(super) fn wake(&mut self, now: Time) {
-        self.out = None;
-        self.asked = None;
-        self.misses = 0;
-        if self.sure.is_none() {
-            self.doubt = Some(now);
+    /// Discards the poll or probe that was sent before a pause of this process: its answer may date
+    /// from before the pause, too. An endpoint that has never confirmed must do so from now on.
+    pub(super) fn reset_after_pause(&mut self, now: Time) {
+        self.poll_sent_at = None;
+        self.last_poll_at = None;
+        self.failed_polls = 0;
+        if self.last_confirmed.is_none() {
+            self.reconfirm_after = Some(now);
         }
     }
 
-    /// Notes that a peer reaches it, so that it is soon probed from here again.
+    /// Records that a peer reaches the endpoint, so that this router soon probes it again.
     pub(super) fn reached_by_peer(&mut self) {
-        self.misses = 0;
+        self.failed_polls = 0;
     }
 
-    /// Gets when it was last asked.
-    pub(super) fn last_asked(&self) -> Option<Time> {
-        self.asked
+    /// Gets when the endpoint was last polled or probed.
+    pub(super) fn last_poll(&self) -> Option<Time> {
+        self.last_poll_at
     }
 
-    fn struck_lately(&self, now: Time) -> bool {
-        let lately = |t| now.since(t) < STRIKE_MEMORY;
-        self.work > 0 && self.struck.is_some_and(lately)
+    /// Tells whether the last strike still counts.
+    fn has_recent_strike(&self, now: Time) -> bool {
+        let recent = |t| now.since(t) < STRIKE_EXPIRY;
+        self.request_score > 0 && self.last_strike.is_some_and(recent)
     }
 
-    fn doubted(&self) -> bool {
-        self.doubt.is_some_and(|d| self.sure.is_none_or(|s| s < d))
+    /// Tells whether the last confirmation is too early to count.
+    fn needs_reconfirmation(&self) -> bool {
+        self.reconfirm_after
+            .is_some_and(|after| self.last_confirmed.is_none_or(|at| at < after))
     }
 
-    /// Only one poll or probe is out at a time, or an answer could be taken for a later one's.
-    pub(super) fn may_ask(&self, now: Time) -> bool {
-        self.out.is_none_or(|t| now.since(t) >= POLL_TIMEOUT)
+    /// Tells whether the endpoint may be polled. Only one poll or probe is unanswered at a time;
+    /// otherwise its answer could be taken for that to a later one.
+    pub(super) fn may_poll(&self, now: Time) -> bool {
+        self.poll_sent_at
+            .is_none_or(|t| now.since(t) >= POLL_TIMEOUT)
     }
 
-    fn rested(&self, now: Time, wait: Millis) -> bool {
-        self.asked.is_none_or(|t| now.since(t) >= wait)
+    fn interval_passed(&self, now: Time, interval: Millis) -> bool {
+        self.last_poll_at.is_none_or(|t| now.since(t) >= interval)
     }
 
-    fn probe_wait(&self) -> Millis {
-        let doubled = PROBE_MIN.0 << self.misses.saturating_sub(2).min(8);
-        Millis(doubled.min(PROBE_MAX.0))
+    fn probe_interval(&self) -> Millis {
+        let doubled = MIN_PROBE_INTERVAL.0 << self.failed_polls.saturating_sub(2).min(8);
+        Millis(doubled.min(MAX_PROBE_INTERVAL.0))
     }
 }
--- a/crates/core/src/membership/wake.rs
+++ b/crates/core/src/membership/wake.rs
@@ -1,53 +1,60 @@
-//! Tells that this process was paused, from the gap between two readings of its clock.
+//! Detects that this process was paused, from the gap between two readings of its clock.
 //!
-//! A paused router wakes with an old view and with old messages in its sockets. The age of the view
-//! needs no care: [`FRESH`](super::FRESH) is measured on a clock that counts the pause. What waits
-//! in the sockets looks new but isn't. So for [`SETTLE`] after a wake-up good news is not believed,
-//! failures are not held against anybody, and nobody is asked: when the first poll is sent, the
-//! sockets have been read, and its answer can't be mistaken for that of an earlier poll.
+//! A router that resumes has an old view of the endpoints, and old messages in its sockets. The age
+//! of the view needs no special treatment, as
+//! [`MAX_CONFIRMATION_AGE`](super::MAX_CONFIRMATION_AGE) is measured on a clock that counts the
+//! pause. The messages in the sockets, however, look new. So for [`SETTLE_TIME`] after a pause,
+//! reports that an endpoint is live do not confirm it, failures are not counted, and no endpoint is
+//! polled. By the time the first poll is sent the sockets have been read, so its answer cannot be
+//! confused with that of an earlier poll.
 
 use crate::units::{
     Millis,
     Time, //
 };
 
-/// Time between two events after which this process counts as paused; the driver sends a tick
-/// every [`TICK`](crate::event::TICK). A shorter pause may add this much to the age of news.
-pub const PAUSE: Millis = Millis(400);
+/// Time between two events from which this process counts as paused; the driver sends a tick every
+/// [`TICK`](crate::event::TICK). A shorter pause is not noticed and may add this much to the age of
+/// what the view knows.
+pub const MIN_PAUSE: Millis = Millis(400);
 
-/// Time after a wake-up in which what is read may be from before.
-pub const SETTLE: Millis = Millis(100);
+/// Time after a pause in which messages that are read may have been sent before it.
+pub const SETTLE_TIME: Millis = Millis(100);
 
-/// Time after a wake-up in which requests wait for an endpoint to be confirmed, instead of being
-/// refused: two polls of a reachable endpoint fit in.
-pub const WAIT: Millis = Millis(600);
+/// Time after a pause in which requests wait for an endpoint to be confirmed instead of being
+/// refused. It is long enough for two polls of a reachable endpoint.
+pub const CONFIRMATION_WAIT: Millis = Millis(600);
 
-/// `Wake` watches the clock for pauses.
+/// `PauseDetector` watches the clock for pauses of this process.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Wake {
-    last: Option<Time>,
-    woken: Option<Time>,
+pub(super) struct PauseDetector {
+    last_event: Option<Time>,
+    resumed_at: Option<Time>,
 }
 
-impl Wake {
-    /// Notes the time of an event; gives the length of the pause that it ended, if one did.
+impl PauseDetector {
+    /// Records the time of an event; gives the length of the pause that it ended, if there was one.
     pub(super) fn advance(&mut self, now: Time) -> Option<Millis> {
-        let gap = self.last.map_or(Millis(0), |last| now.since(last));
-        self.last = self.last.max(Some(now));
-        if gap < PAUSE {
+        let gap = self
+            .last_event
+            .map_or(Millis(0), |last_event| now.since(last_event));
+        self.last_event = self.last_event.max(Some(now));
+        if gap < MIN_PAUSE {
             return None;
         }
-        self.woken = Some(now);
+        self.resumed_at = Some(now);
         Some(gap)
     }
 
-    /// Tells whether what is read now may be from before the pause.
+    /// Tells whether messages that are read now may have been sent before the pause.
     pub(super) fn settling(&self, now: Time) -> bool {
-        self.woken.is_some_and(|t| now.since(t) < SETTLE)
+        self.resumed_at.is_some_and(|t| now.since(t) < SETTLE_TIME)
     }
 
-    /// Tells whether requests should wait for endpoints to be confirmed.
-    pub(super) fn waiting(&self, now: Time) -> bool {
-        self.woken.is_some_and(|t| now.since(t) < WAIT)
+    /// Tells whether a pause ended so recently that requests should wait for endpoints to be
+    /// confirmed.
+    pub(super) fn recently_paused(&self, now: Time) -> bool {
+        self.resumed_at
+            .is_some_and(|t| now.since(t) < CONFIRMATION_WAIT)
     }
 }
--- a/crates/core/src/node/calls.rs
+++ b/crates/core/src/node/calls.rs
@@ -226,7 +226,7 @@
             .recent
             .recall(scene, open.request.workspace, &open.request.work);
         let Some(placed) = place::choose(scene, &work, &open.tried, &mut self.rng) else {
-            if self.view.waking(now.mono) {
+            if self.view.recently_paused(now.mono) {
                 // The view is from before a pause: an endpoint may be confirmed in a moment.
                 open.stage = Stage::Later { at: now.mono };
                 return;
--- a/crates/core/src/node/endpoints.rs
+++ b/crates/core/src/node/endpoints.rs
@@ -14,8 +14,8 @@
     event::Report,
     ids::Id,
     membership::{
-        Seen,
-        Word, //
+        Observation,
+        SelfReport, //
     },
     request::Call,
     units::{
@@ -56,21 +56,21 @@
         out: &mut Vec<Action>,
     ) {
         let Some(report) = report else {
-            let changed = self.view.seen(now.mono, endpoint, Seen::Unreached);
+            let changed = self.view.seen(now.mono, endpoint, Observation::Unreached);
             log_member(endpoint, changed, out);
             return;
         };
         self.loads.report(now.mono, endpoint, &report);
         self.orders.report(now.mono, endpoint, &report);
-        let word = Word {
+        let self_report = SelfReport {
             // A plain service may not state its life.
             life: Some(report.incarnation).filter(|life| *life != Incarnation(0)),
             leaving: report.leaving,
-            seen: Seen::Reached,
+            seen: Observation::Reached,
             since: None,
         };
         self.reports.insert(endpoint, (now.mono, report));
-        let changed = self.view.word(now.mono, endpoint, word);
+        let changed = self.view.self_report(now.mono, endpoint, self_report);
         log_member(endpoint, changed, out);
     }
 
@@ -100,13 +100,13 @@
             return;
         };
         let endpoint = *endpoint;
-        let word = Word {
+        let self_report = SelfReport {
             life: incarnation,
             leaving,
-            seen: Seen::Answered,
+            seen: Observation::Answered,
             since: Some(*sent),
         };
-        let changed = self.view.word(now.mono, endpoint, word);
+        let changed = self.view.self_report(now.mono, endpoint, self_report);
         log_member(endpoint, changed, out);
     }
 
--- a/crates/core/src/node/ends.rs
+++ b/crates/core/src/node/ends.rs
@@ -15,7 +15,7 @@
         Action,
         Decision, //
     },
-    membership::Seen,
+    membership::Observation,
     request::{
         Answer,
         Attempt,
@@ -50,10 +50,12 @@
         }
         self.loads.ended(now.mono, endpoint);
         let changed = match &end {
-            End::Whole(_) => self.view.seen(now.mono, endpoint, Seen::Finished),
+            End::Whole(_) => self.view.seen(now.mono, endpoint, Observation::Finished),
             End::NotSent { leaving: true } => self.view.leaving(now.mono, endpoint, life),
-            End::NotSent { leaving: false } => self.view.seen(now.mono, endpoint, Seen::Refused),
-            End::Broken { .. } => self.view.seen(now.mono, endpoint, Seen::Silent),
+            End::NotSent { leaving: false } => {
+                self.view.seen(now.mono, endpoint, Observation::Refused)
+            }
+            End::Broken { .. } => self.view.seen(now.mono, endpoint, Observation::Silent),
             End::Failed(_) | End::Cancelled => None,
         };
         log_member(endpoint, changed, out);
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -38,7 +38,7 @@
     limits::Limits,
     load::Table,
     membership::{
-        Seen,
+        Observation,
         View, //
     },
     once::Home,
@@ -254,9 +254,9 @@
             Event::Polled { endpoint, report } => self.polled(now, endpoint, report, out),
             Event::Probed { endpoint, answered } => {
                 let seen = if answered {
-                    Seen::Reached
+                    Observation::Reached
                 } else {
-                    Seen::Unreached
+                    Observation::Unreached
                 };
                 let changed = self.view.seen(now.mono, endpoint, seen);
                 log_member(endpoint, changed, out);
--- a/crates/core/src/node/orders.rs
+++ b/crates/core/src/node/orders.rs
@@ -81,7 +81,7 @@
         for step in steps {
             match step {
                 Step::Poll(endpoint) => {
-                    if self.view.spare_poll(now.mono, endpoint) {
+                    if self.view.take_extra_poll(now.mono, endpoint) {
                         self.view.asked(now.mono, endpoint);
                         out.push(Action::Poll { endpoint });
                     }
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -20,7 +20,7 @@
     limits::Question,
     membership::{
         State,
-        pollers::TRANSIT, //
+        pollers::MAX_REPORT_TRANSIT, //
     },
     once::{
         self,
@@ -287,11 +287,11 @@
             })
         };
         // Those that leave are told as leaving; a poll from before a pause is no news.
-        let known = config.policy.summary_interval + TRANSIT;
+        let known = config.policy.summary_interval + MAX_REPORT_TRANSIT;
         let fresh = |key: &_| {
-            let sure = self.view.sure(*key);
+            let last_confirmed = self.view.last_confirmed(*key);
             self.view.state(now.mono, *key) != State::Leaving
-                && sure.is_some_and(|t| now.mono.since(t) <= known)
+                && last_confirmed.is_some_and(|t| now.mono.since(t) <= known)
         };
         let report = |(key, (at, report)): (_, (_, event::Report))| {
             Some(peer::Report {
--- a/crates/core/src/orders/mod.rs
+++ b/crates/core/src/orders/mod.rs
@@ -34,12 +34,12 @@
     },
     event::Report,
     membership::{
-        FRESH,
+        MAX_CONFIRMATION_AGE,
         State,
         View,
         pollers::{
             self,
-            TRANSIT, //
+            MAX_REPORT_TRANSIT, //
         },
         wake, //
     },
@@ -107,14 +107,14 @@
 /// Gets the time for which a router counts as there after its last word.
 pub fn heard_for(policy: &Policy) -> Millis {
     let words = Millis(policy.summary_interval.0.saturating_mul(3));
-    HEARD.max(words + TRANSIT)
+    HEARD.max(words + MAX_REPORT_TRANSIT)
 }
 
 /// Gets the time that a router waits after it became the issuer of an engine that ignores fencing
 /// numbers. A former issuer that lost touch with the fleet notices after [`heard_for`]; what it sent
 /// until then is answered or given up after [`ORDER_TIMEOUT`].
 pub fn hold_off(policy: &Policy) -> Millis {
-    heard_for(policy) + ORDER_TIMEOUT + ORDER_SLACK + wake::PAUSE
+    heard_for(policy) + ORDER_TIMEOUT + ORDER_SLACK + wake::MIN_PAUSE
 }
 
 /// `Scene` is what the orders see of a router.
@@ -268,7 +268,7 @@
     fn reporting(&mut self, now: Time) -> Vec<EndpointKey> {
         let mut keys = Vec::new();
         for (key, engine) in &mut self.engines {
-            let fresh = |news: &News| now.since(news.at) <= FRESH;
+            let fresh = |news: &News| now.since(news.at) <= MAX_CONFIRMATION_AGE;
             if engine.news.as_ref().is_some_and(fresh) {
                 keys.push(key);
             } else {
@@ -358,7 +358,7 @@
     }
 
     fn settling(&self, now: Time) -> bool {
-        self.woke.is_some_and(|t| now.since(t) < wake::SETTLE)
+        self.woke.is_some_and(|t| now.since(t) < wake::SETTLE_TIME)
     }
 
     /// Ends what was not answered in time; the driver gives up sooner, so its word was lost.
@@ -419,7 +419,7 @@
         };
         let waits = matches!(hold, Hold::Pace | Hold::MinReplicas | Hold::Unreported);
         if waits && survey.is_empty() && !self.settling(scene.now) {
-            let since = scene.now - FRESH;
+            let since = scene.now - MAX_CONFIRMATION_AGE;
             survey.extend(pace::unknown(&scene, &self.engines, key, since));
         }
         self.hold(key, hold, out);
@@ -447,7 +447,7 @@
         let life = scene.view.incarnation(key);
         let state = scene.view.state(scene.now, key);
         let news = engine.news(life);
-        let news = news.filter(|news| scene.now.since(news.at) <= FRESH);
+        let news = news.filter(|news| scene.now.since(news.at) <= MAX_CONFIRMATION_AGE);
         let news = news.filter(|_| matches!(state, State::Live | State::Suspect));
         let news = news.ok_or(Hold::Unreported)?;
         let Some(change) = engine::wanted(scene.config, endpoint, &news.loaded) else {
@@ -572,7 +572,7 @@
             fence,
             revision,
             change,
-            not_after: scene.now + wake::PAUSE,
+            not_after: scene.now + wake::MIN_PAUSE,
         };
         engine.held = None;
         engine.stage = Stage::Sent {
--- a/crates/core/src/place/mod.rs
+++ b/crates/core/src/place/mod.rs
@@ -67,7 +67,7 @@
     for usable in rounds(pool) {
         // Made anew for each state: what the rounds for live ones found suspect is just what the
         // rounds of last resort are for.
-        if scene.view.waking(scene.now) && few_known(pool) {
+        if scene.view.recently_paused(scene.now) && few_known(pool) {
             // The requests that came while this process stood still would all go to the one endpoint
             // that it hears first; the node holds them for the answers of the others.
             return None;
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -8,11 +8,11 @@
     config::Policy,
     event::VmState,
     membership::{
-        PROBE_MAX,
-        Seen,
+        MAX_PROBE_INTERVAL,
+        Observation,
+        SelfReport,
         State,
         View,
-        Word,
         damping, //
     },
     units::{
@@ -35,12 +35,20 @@
     // put it back.
     let (mut view, keys) = view(START, 2);
     let key = keys[0];
-    expect_that!(view.word(START, key, farewell(1)), some(eq(State::Leaving)));
+    expect_that!(
+        view.self_report(START, key, farewell(1)),
+        some(eq(State::Leaving))
+    );
     let mut now = START;
-    for seen in [Seen::Answered, Seen::Finished, Seen::Reached, Seen::Refused] {
+    for seen in [
+        Observation::Answered,
+        Observation::Finished,
+        Observation::Reached,
+        Observation::Refused,
+    ] {
         now = now + Millis(100);
         view.seen(now, key, seen);
-        view.word(now, key, fresh(now, 1));
+        view.self_report(now, key, fresh(now, 1));
         view.listed(now, Millis(0), &[(key, VmState::Live)]);
         expect_that!(view.state(now, key), eq(State::Leaving));
     }
@@ -51,8 +59,8 @@
 #[googletest::test]
 fn verify_later_life_starts_afresh() {
     let (mut view, keys) = view(START, 2);
-    view.word(START, keys[0], farewell(1));
-    view.word(START + Millis(10), keys[0], fresh(START + Millis(10), 2));
+    view.self_report(START, keys[0], farewell(1));
+    view.self_report(START + Millis(10), keys[0], fresh(START + Millis(10), 2));
     expect_that!(view.state(START + Millis(10), keys[0]), eq(State::Live));
     expect_that!(view.all_leaving().count(), eq(0));
 }
@@ -62,12 +70,12 @@
     // Symptom: a replaced engine got no work. Sequence: the new life is known, then a late answer
     // or a peer's summary says that the old life leaves. Cause: the news went by address alone.
     let (mut view, keys) = view(START, 2);
-    view.word(START, keys[0], fresh(START, 5));
-    expect_that!(view.word(START, keys[0], farewell(4)), none());
+    view.self_report(START, keys[0], fresh(START, 5));
+    expect_that!(view.self_report(START, keys[0], farewell(4)), none());
     expect_that!(view.leaving(START, keys[0], Incarnation(4)), none());
     expect_that!(view.state(START, keys[0]), eq(State::Live));
     let late = START + Millis(3000);
-    view.word(late, keys[0], fresh(late, 4));
+    view.self_report(late, keys[0], fresh(late, 4));
     view.reported(late, keys[0], Incarnation(4), Millis(200));
     expect_that!(view.state(late, keys[0]), eq(State::Down));
 }
@@ -86,18 +94,18 @@
     // then a lagging list says that the VM leaves. Cause: the list meant life 1.
     let (mut view, keys) = view(START, 2);
     let key = keys[0];
-    view.word(START + Millis(500), key, fresh(START + Millis(500), 2));
+    view.self_report(START + Millis(500), key, fresh(START + Millis(500), 2));
     keys.iter()
         .for_each(|k| view.asked(START + Millis(500), *k));
     keys.iter().for_each(|k| {
-        view.word(START + Millis(501), *k, word(2));
+        view.self_report(START + Millis(501), *k, self_report(2));
     });
     let now = START + Millis(600);
     let list = [(key, VmState::Leaving)];
     view.listed(now, Millis(300), &list);
     expect_that!(view.state(now, key), eq(State::Down));
     expect_that!(view.to_poll(now, &Policy::default()), eq(&vec![key]));
-    view.word(now + Millis(5), key, fresh(now + Millis(5), 2));
+    view.self_report(now + Millis(5), key, fresh(now + Millis(5), 2));
     expect_that!(view.state(now + Millis(5), key), not(eq(State::Down)));
     // A list made after the new life began means that life.
     let later = now + Millis(500);
@@ -128,11 +136,11 @@
     let mut view = View::default();
     view.apply(START, &config);
     let key = config.endpoints.iter().next().expect("one endpoint").0;
-    let mute = Word {
+    let mute = SelfReport {
         life: None,
         ..farewell(0)
     };
-    view.word(START, key, mute);
+    view.self_report(START, key, mute);
     // The list lags: at first it still says live.
     let mut now = START + Millis(100);
     view.listed(now, Millis(0), &[(key, VmState::Live)]);
@@ -143,17 +151,17 @@
     }
     view.leaving(now, key, Incarnation(0));
     expect_that!(view.state(now, key), eq(State::Down));
-    let back = Word {
+    let back = SelfReport {
         life: None,
         ..fresh(now, 0)
     };
-    view.word(now, key, back);
+    view.self_report(now, key, back);
     expect_that!(view.state(now, key), eq(State::Live));
 }
 
 /// Makes a word without a life, asked at `now`.
-fn unstated(now: Time, leaving: bool) -> Word {
-    Word {
+fn unstated(now: Time, leaving: bool) -> SelfReport {
+    SelfReport {
         life: None,
         leaving,
         ..fresh(now, 0)
@@ -163,11 +171,11 @@
 /// Polls an endpoint that states no life in the answer.
 fn poll(view: &mut View, now: Time, key: EndpointKey, leaving: bool) {
     view.asked(now, key);
-    let answer = Word {
+    let answer = SelfReport {
         since: None,
         ..unstated(now, leaving)
     };
-    view.word(now + Millis(2), key, answer);
+    view.self_report(now + Millis(2), key, answer);
 }
 
 #[googletest::test]
@@ -179,11 +187,11 @@
     // leaving replica gets no call whose answer could state one.
     let (mut view, keys) = view(START, 2);
     let key = keys[0];
-    let head = |life| Word {
-        seen: Seen::Answered,
+    let head = |life| SelfReport {
+        seen: Observation::Answered,
         ..fresh(START, life)
     };
-    view.word(START, key, head(3));
+    view.self_report(START, key, head(3));
     let mut now = START + Millis(100);
     poll(&mut view, now, key, true);
     expect_that!(view.state(now, key), eq(State::Leaving));
@@ -206,11 +214,11 @@
     poll(&mut view, START, key, true);
     poll(&mut view, START + Millis(500), key, false);
     let now = START + Millis(700);
-    let turned_away = Word {
-        seen: Seen::Answered,
+    let turned_away = SelfReport {
+        seen: Observation::Answered,
         ..unstated(now, true)
     };
-    view.word(now, key, turned_away);
+    view.self_report(now, key, turned_away);
     expect_that!(view.state(now, key), eq(State::Leaving));
     poll(&mut view, now + Millis(300), key, false);
     expect_that!(view.state(now + Millis(302), key), eq(State::Live));
@@ -222,11 +230,11 @@
     // says that it leaves, while its polls say nothing of it at any time. Cause: silence in a poll
     // is taken for the news of a next life.
     let (mut view, keys) = view(START, 3);
-    let turned_away = Word {
-        seen: Seen::Answered,
+    let turned_away = SelfReport {
+        seen: Observation::Answered,
         ..unstated(START, true)
     };
-    view.word(START, keys[0], turned_away);
+    view.self_report(START, keys[0], turned_away);
     view.leaving(START, keys[1], Incarnation(1));
     view.listed(START, Millis(0), &[(keys[2], VmState::Leaving)]);
     for key in keys {
@@ -256,13 +264,13 @@
     let (mut view, keys) = view(START, 1);
     let key = keys[0];
     poll(&mut view, START + Millis(1100), key, true);
-    view.word(START + Millis(1200), key, unstated(START, false));
+    view.self_report(START + Millis(1200), key, unstated(START, false));
     // And one that belongs to no poll that is out says nothing, either.
-    let stray = Word {
+    let stray = SelfReport {
         since: None,
         ..unstated(START, false)
     };
-    view.word(START + Millis(1300), key, stray);
+    view.self_report(START + Millis(1300), key, stray);
     expect_that!(view.state(START + Millis(1300), key), eq(State::Leaving));
 }
 
@@ -276,13 +284,13 @@
     let mut view = View::default();
     view.apply(START, &config);
     let key = config.endpoints.iter().next().expect("one endpoint").0;
-    let head = |now, leaving| Word {
-        seen: Seen::Answered,
+    let head = |now, leaving| SelfReport {
+        seen: Observation::Answered,
         leaving,
         ..fresh(now, 2)
     };
-    view.word(START, key, head(START, false));
-    view.word(START, key, head(START, true));
+    view.self_report(START, key, head(START, false));
+    view.self_report(START, key, head(START, true));
     let mut now = START;
     for state in [VmState::Leaving, VmState::Live] {
         now = now + Millis(1000);
@@ -302,7 +310,7 @@
     let mut moved = endpoint(0, "dc-1");
     moved.address = ([10, 0, 9, 9], 1).into();
     let name = old.id.clone();
-    view.word(START, key, farewell(3));
+    view.self_report(START, key, farewell(3));
     view.apply(START, &config);
     expect_that!(view.state(START, key), eq(State::Leaving));
     config.endpoints.put(&name, Arc::new(moved));
@@ -320,7 +328,7 @@
     for _ in 0..61 {
         now = now + Millis(500);
         view.listed(now, Millis(0), &all[1..]);
-        view.word(now, keys[0], fresh(now, 1));
+        view.self_report(now, keys[0], fresh(now, 1));
     }
     expect_that!(view.state(now, keys[0]), eq(State::Suspect));
     view.listed(now, Millis(0), &all);
@@ -337,21 +345,21 @@
     for flap in 0..4 {
         for _ in 0..2 {
             now = now + Millis(500);
-            view.seen(now, key, Seen::Unreached);
+            view.seen(now, key, Observation::Unreached);
         }
         expect_that!(view.state(now, key), eq(State::Down));
         now = now + Millis(500);
-        view.word(now, key, fresh(now, 1));
+        view.self_report(now, key, fresh(now, 1));
         let trusted = view.state(now, key) == State::Live;
         expect_that!(trusted, eq(flap < 2), "after flap {flap}");
     }
     let stable = now;
     while view.state(now, key) != State::Live {
         now = now + Millis(100);
-        view.word(now, key, fresh(now, 1));
+        view.self_report(now, key, fresh(now, 1));
         assert_that!(now.since(stable), le(Millis(60_000)));
     }
-    expect_that!(now.since(stable), gt(damping::RULE.half_life));
+    expect_that!(now.since(stable), gt(damping::DEFAULT_PARAMS.half_life));
 }
 
 #[googletest::test]
@@ -362,8 +370,8 @@
     let mut now = START;
     for _ in 0..3 {
         now = now + Millis(2000);
-        view.word(now, keys[0], fresh(now, 1));
-        view.seen(now, keys[0], Seen::Silent);
+        view.self_report(now, keys[0], fresh(now, 1));
+        view.seen(now, keys[0], Observation::Silent);
     }
     expect_that!(view.state(now, keys[0]), eq(State::Down));
 }
@@ -374,12 +382,12 @@
     // connections go silent at once, new ones work. Cause: one fault was counted twenty times.
     let (mut view, keys) = view(START, 5);
     for n in 0..20 {
-        view.seen(START + Millis(n * 10), keys[0], Seen::Silent);
+        view.seen(START + Millis(n * 10), keys[0], Observation::Silent);
     }
     let now = START + Millis(300);
     expect_that!(view.state(now, keys[0]), eq(State::Suspect));
     expect_that!(view.to_probe(now), eq(&vec![keys[0]]));
-    view.seen(now, keys[0], Seen::Answered);
+    view.seen(now, keys[0], Observation::Answered);
     expect_that!(view.state(now, keys[0]), eq(State::Live));
 }
 
@@ -390,23 +398,23 @@
     let mut now = START;
     let mut sent = Vec::new();
     for _ in 0..2 {
-        view.seen(now, key, Seen::Unreached);
+        view.seen(now, key, Observation::Unreached);
     }
     while now < START + Millis::from_secs(3600) {
         now = now + Millis(50);
         for due in view.to_probe(now) {
             view.asked(now, due);
             if due == key {
-                view.seen(now, key, Seen::Unreached);
+                view.seen(now, key, Observation::Unreached);
                 sent.push(now);
             } else {
-                view.word(now, due, word(1));
+                view.self_report(now, due, self_report(1));
             }
         }
     }
     let gaps: Vec<_> = sent.windows(2).map(|w| w[1].since(w[0])).collect();
-    expect_that!(gaps.iter().max(), some(eq(&PROBE_MAX)));
+    expect_that!(gaps.iter().max(), some(eq(&MAX_PROBE_INTERVAL)));
     expect_that!(sent.len(), le(460));
-    view.word(now, key, fresh(now, 1));
+    view.self_report(now, key, fresh(now, 1));
     expect_that!(view.state(now, key), not(eq(State::Down)));
 }
--- a/crates/core/tests/membership/fixture.rs
+++ b/crates/core/tests/membership/fixture.rs
@@ -14,9 +14,9 @@
     },
     ids::Id,
     membership::{
-        Seen,
+        Observation,
+        SelfReport, //
         View,
-        Word, //
     },
     units::{
         Incarnation,
@@ -78,33 +78,33 @@
     view.apply(now, &config);
     let keys: Vec<_> = config.endpoints.iter().map(|(key, _)| key).collect();
     for key in &keys {
-        view.word(now, *key, fresh(now, 1));
+        view.self_report(now, *key, fresh(now, 1));
     }
     (view, keys)
 }
 
 /// Makes the answer to the poll that is out, of a life that isn't leaving.
-pub(crate) fn word(life: u64) -> Word {
-    Word {
+pub(crate) fn self_report(life: u64) -> SelfReport {
+    SelfReport {
         life: Some(Incarnation(life)),
         leaving: false,
-        seen: Seen::Reached,
+        seen: Observation::Reached,
         since: None,
     }
 }
 
 /// Makes the answer to a poll that was sent at `now`.
-pub(crate) fn fresh(now: Time, life: u64) -> Word {
-    Word {
+pub(crate) fn fresh(now: Time, life: u64) -> SelfReport {
+    SelfReport {
         since: Some(now),
-        ..word(life)
+        ..self_report(life)
     }
 }
 
 /// Makes the answer to a poll of a life that is leaving.
-pub(crate) fn farewell(life: u64) -> Word {
-    Word {
+pub(crate) fn farewell(life: u64) -> SelfReport {
+    SelfReport {
         leaving: true,
-        ..word(life)
+        ..self_report(life)
     }
 }
--- a/crates/core/tests/membership_link.rs
+++ b/crates/core/tests/membership_link.rs
@@ -4,7 +4,7 @@
 use toucanturn_core::{
     arena::EndpointKey,
     membership::{
-        Seen,
+        Observation,
         State,
         View, //
     },
@@ -28,9 +28,9 @@
         for (n, key) in keys.iter().enumerate() {
             view.asked(now, *key);
             if n < dead {
-                view.seen(now, *key, Seen::Unreached);
+                view.seen(now, *key, Observation::Unreached);
             } else {
-                view.word(now, *key, word(1));
+                view.self_report(now, *key, self_report(1));
             }
         }
     }
@@ -50,15 +50,15 @@
     let (mut view, keys) = view(START, 10);
     let now = fail(&mut view, &keys, 10);
     expect_that!(count(&view, now, &keys, State::Suspect), eq(10));
-    expect_that!(view.cut(), some(anything()));
+    expect_that!(view.link_fault_since(), some(anything()));
     expect_that!(view.penalty(now, keys[0]), eq(0));
     let later = now + Millis(500);
     for key in &keys {
-        view.word(later, *key, fresh(later, 1));
+        view.self_report(later, *key, fresh(later, 1));
     }
     view.changes(later);
     expect_that!(count(&view, later, &keys, State::Live), eq(10));
-    expect_that!(view.cut(), none());
+    expect_that!(view.link_fault_since(), none());
 }
 
 #[googletest::test]
@@ -69,8 +69,8 @@
     let (mut view, keys) = view(START, 10);
     for (n, key) in keys.iter().enumerate() {
         let at = START + Millis(if n < 2 { 500 } else { 1500 });
-        view.seen(at, *key, Seen::Unreached);
-        view.seen(at + Millis(500), *key, Seen::Unreached);
+        view.seen(at, *key, Observation::Unreached);
+        view.seen(at + Millis(500), *key, Observation::Unreached);
         if n == 1 {
             let now = START + Millis(1000);
             expect_that!(count(&view, now, &keys, State::Down), eq(2));
@@ -87,7 +87,7 @@
     let now = fail(&mut view, &keys, 3);
     expect_that!(count(&view, now, &keys, State::Down), eq(3));
     expect_that!(count(&view, now, &keys, State::Live), eq(9));
-    expect_that!(view.cut(), none());
+    expect_that!(view.link_fault_since(), none());
 }
 
 #[googletest::test]
@@ -106,6 +106,6 @@
 fn verify_leaving_is_believed_during_a_fault_of_the_link() {
     let (mut view, keys) = view(START, 10);
     let now = fail(&mut view, &keys, 10);
-    view.word(now, keys[0], farewell(1));
+    view.self_report(now, keys[0], farewell(1));
     expect_that!(view.state(now, keys[0]), eq(State::Leaving));
 }
--- a/crates/core/tests/membership_node.rs
+++ b/crates/core/tests/membership_node.rs
@@ -105,7 +105,7 @@
         out.extend(tick(&mut node, now, |key| Some(key == gone)));
     }
     println!("{} ms until work goes on", now.mono.since(woke.mono).0);
-    expect_that!(now.mono.since(woke.mono), le(wake::SETTLE + TICK));
+    expect_that!(now.mono.since(woke.mono), le(wake::SETTLE_TIME + TICK));
     expect_that!(targets(&out), len(eq(100)));
     expect_that!(targets(&out), not(contains(eq(&gone))));
 }
--- a/crates/core/tests/membership_pollers.rs
+++ b/crates/core/tests/membership_pollers.rs
@@ -11,7 +11,7 @@
     },
     event::TICK,
     membership::{
-        FRESH,
+        MAX_CONFIRMATION_AGE,
         State,
         View,
         pollers, //
@@ -112,7 +112,7 @@
             view.advance(now);
             for key in view.to_poll(now, &config.policy) {
                 view.asked(now, key);
-                view.word(now, key, word(1));
+                view.self_report(now, key, self_report(1));
                 polls[n] += 1;
                 news[n].push(key);
             }
@@ -127,10 +127,10 @@
         }
         for view in &views[silent..] {
             for (key, _) in config.endpoints.iter() {
-                if now.since(START) > FRESH {
+                if now.since(START) > MAX_CONFIRMATION_AGE {
                     assert_that!(view.state(now, key), eq(State::Live));
-                    let sure = view.sure(key).unwrap_or_default();
-                    oldest = oldest.max(now.since(sure));
+                    let last_confirmed = view.last_confirmed(key).unwrap_or_default();
+                    oldest = oldest.max(now.since(last_confirmed));
                 }
             }
         }
@@ -154,7 +154,7 @@
     // the published fleet still names it. Cause: all waited for its reports.
     let (polls, oldest) = share(7, 14, 3, Millis::from_secs(30));
     println!("{polls:?} polls in 30 s, oldest view {} ms", oldest.0);
-    expect_that!(oldest, lt(FRESH));
+    expect_that!(oldest, lt(MAX_CONFIRMATION_AGE));
     expect_that!(polls[..3], each(eq(&0)));
 }
 
@@ -175,7 +175,7 @@
     }
     expect_that!(
         polls,
-        le(usize::try_from(pollers::BUDGET).unwrap_or(0) * 11)
+        le(usize::try_from(pollers::MAX_POLLS_PER_SECOND).unwrap_or(0) * 11)
     );
     expect_that!(polls, gt(350));
 }
--- a/crates/core/tests/membership_random.rs
+++ b/crates/core/tests/membership_random.rs
@@ -17,8 +17,8 @@
 use toucanturn_core::{
     event::VmState,
     membership::{
-        FRESH,
-        Seen,
+        MAX_CONFIRMATION_AGE,
+        Observation,
         State, //
     },
     units::{
@@ -41,19 +41,19 @@
     Poll { life: u64, leaving: bool },
     PeerLeaving { life: u64 },
     PeerReport { life: u64 },
-    Health(Seen),
+    Health(Observation),
     List { age: u64, state: Option<VmState> },
     Pause { span: u64 },
 }
 
 fn step() -> impl Strategy<Value = (u64, usize, Step)> {
     let health = prop_oneof![
-        Just(Seen::Answered),
-        Just(Seen::Finished),
-        Just(Seen::Reached),
-        Just(Seen::Refused),
-        Just(Seen::Silent),
-        Just(Seen::Unreached),
+        Just(Observation::Answered),
+        Just(Observation::Finished),
+        Just(Observation::Reached),
+        Just(Observation::Refused),
+        Just(Observation::Silent),
+        Just(Observation::Unreached),
     ];
     let listed = prop_oneof![
         Just(None),
@@ -87,8 +87,12 @@
         match *step {
             Step::Poll { life, leaving } => {
                 view.asked(now, key);
-                let word = if leaving { farewell(life) } else { word(life) };
-                view.word(now, key, word);
+                let self_report = if leaving {
+                    farewell(life)
+                } else {
+                    self_report(life)
+                };
+                view.self_report(now, key, self_report);
             }
             Step::PeerLeaving { life } => {
                 view.leaving(now, key, Incarnation(life));
@@ -117,11 +121,13 @@
                 return Err(format!("{life:?} left and is {state}"));
             }
             let usable = matches!(state, State::Live | State::Suspect);
-            let old = view.sure(*key).is_some_and(|t| now.since(t) > FRESH);
+            let old = view
+                .last_confirmed(*key)
+                .is_some_and(|t| now.since(t) > MAX_CONFIRMATION_AGE);
             if usable && old {
                 return Err(format!(
                     "{life:?} is {state} by news of {:?}",
-                    view.sure(*key)
+                    view.last_confirmed(*key)
                 ));
             }
         }
@@ -135,7 +141,7 @@
         view.advance(now);
         for key in &keys {
             view.asked(now, *key);
-            view.word(now, *key, word(9));
+            view.self_report(now, *key, self_report(9));
             view.listed(
                 now,
                 Millis(0),
--- a/crates/core/tests/membership_wake.rs
+++ b/crates/core/tests/membership_wake.rs
@@ -11,9 +11,9 @@
     config::Policy,
     event::TICK,
     membership::{
-        FRESH,
+        MAX_CONFIRMATION_AGE,
+        Observation,
         POLL_TIMEOUT,
-        Seen,
         State,
         View,
         wake, //
@@ -39,7 +39,7 @@
         view.advance(now);
         for key in keys {
             view.asked(now, *key);
-            view.word(now, *key, word(1));
+            view.self_report(now, *key, self_report(1));
         }
     }
     now
@@ -60,15 +60,15 @@
     view.asked(now, keys[0]);
     now = now + Millis(60_000);
     expect_that!(view.advance(now), some(eq(Millis(60_000))));
-    view.word(now, keys[0], word(1));
+    view.self_report(now, keys[0], self_report(1));
     expect_that!(states(&view, now, &keys), each(eq(&State::Down)));
     expect_that!(view.to_poll(now, &policy), is_empty());
-    now = now + wake::SETTLE;
+    now = now + wake::SETTLE_TIME;
     view.advance(now);
     expect_that!(view.to_poll(now, &policy), len(eq(3)));
     view.asked(now, keys[0]);
     now = now + Millis(2);
-    view.word(now, keys[0], word(1));
+    view.self_report(now, keys[0], self_report(1));
     let wanted = vec![State::Live, State::Down, State::Down];
     expect_that!(states(&view, now, &keys), eq(&wanted));
 }
@@ -81,7 +81,7 @@
     view.advance(now);
     view.reported(now, keys[0], Incarnation(1), Millis(200));
     expect_that!(view.state(now, keys[0]), eq(State::Down));
-    now = now + wake::SETTLE;
+    now = now + wake::SETTLE_TIME;
     view.advance(now);
     view.reported(now, keys[0], Incarnation(1), Millis(200));
     expect_that!(view.state(now, keys[0]), eq(State::Live));
@@ -93,7 +93,7 @@
     let now = run(&mut view, &keys, START, Millis(500)) + Millis(9000);
     view.advance(now);
     view.leaving(now, keys[0], Incarnation(1));
-    view.word(now, keys[1], farewell(1));
+    view.self_report(now, keys[1], farewell(1));
     expect_that!(states(&view, now, &keys), each(eq(&State::Leaving)));
 }
 
@@ -106,8 +106,8 @@
     view.advance(now);
     for key in &keys {
         for _ in 0..4 {
-            view.seen(now, *key, Seen::Unreached);
-            view.seen(now, *key, Seen::Refused);
+            view.seen(now, *key, Observation::Unreached);
+            view.seen(now, *key, Observation::Refused);
         }
         expect_that!(view.penalty(now, *key), eq(0));
     }
@@ -125,12 +125,12 @@
     let (mut view, keys) = view(START, 1);
     let mut now = START;
     view.asked(now, keys[0]);
-    view.word(now, keys[0], word(1));
+    view.self_report(now, keys[0], self_report(1));
     while view.state(now, keys[0]) != State::Down && now.since(START) < Millis(9000) {
         now = now + TICK;
         view.advance(now);
     }
-    expect_that!(now.since(START), le(FRESH + TICK));
+    expect_that!(now.since(START), le(MAX_CONFIRMATION_AGE + TICK));
 }
 
 #[googletest::test]
@@ -152,8 +152,8 @@
     // Sequence: cut off from all else, the router sees old answers end. Cause: each end of an
     // answer counted as the engine's word that it stays.
     let (mut view, keys) = view(START, 1);
-    let now = START + FRESH + Millis(1);
-    view.seen(now, keys[0], Seen::Finished);
+    let now = START + MAX_CONFIRMATION_AGE + Millis(1);
+    view.seen(now, keys[0], Observation::Finished);
     expect_that!(view.state(now, keys[0]), eq(State::Down));
 }
 
@@ -163,10 +163,10 @@
     let (mut view, keys) = view(START, 2);
     let now = START + Millis(900);
     view.asked(START + Millis(100), keys[0]);
-    view.word(now, keys[0], word(1));
-    expect_that!(view.sure(keys[0]), some(eq(START + Millis(100))));
+    view.self_report(now, keys[0], self_report(1));
+    expect_that!(view.last_confirmed(keys[0]), some(eq(START + Millis(100))));
     view.reported(now, keys[1], Incarnation(1), Millis(200));
-    expect_that!(view.sure(keys[1]), some(le(now - Millis(300))));
+    expect_that!(view.last_confirmed(keys[1]), some(le(now - Millis(300))));
 }
 
 #[googletest::test]
@@ -178,7 +178,7 @@
     view.asked(now, keys[0]);
     now = now + Millis(600);
     view.advance(now);
-    now = now + wake::SETTLE;
+    now = now + wake::SETTLE_TIME;
     view.advance(now);
     expect_that!(view.to_poll(now, &Policy::default()), len(eq(1)));
 }
@@ -200,7 +200,7 @@
     let (mut view, keys) = view(START, 3);
     for key in &keys {
         view.asked(START, *key);
-        view.word(START, *key, word(1));
+        view.self_report(START, *key, self_report(1));
     }
     let left: Vec<_> = keys
         .iter()
@@ -244,9 +244,9 @@
             if m.from_peer {
                 view.reported(now, key, Incarnation(1), policy.summary_interval);
             } else if m.leaving {
-                view.word(now, key, farewell(1));
+                view.self_report(now, key, farewell(1));
             } else {
-                view.word(now, key, word(1));
+                view.self_report(now, key, self_report(1));
             }
         }
         for key in view.to_poll(now, &policy) {
--- a/crates/core/tests/orders/world.rs
+++ b/crates/core/tests/orders/world.rs
@@ -20,9 +20,9 @@
     },
     ids::Id,
     membership::{
-        Seen,
+        Observation,
+        SelfReport,
         View,
-        Word,
         pollers, //
     },
     orders::{
@@ -380,14 +380,16 @@
         if machine.down {
             return;
         }
-        let word = Word {
+        let self_report = SelfReport {
             life: Some(Incarnation(machine.life)),
             leaving: false,
-            seen: Seen::Reached,
+            seen: Observation::Reached,
             since: Some(self.now),
         };
         let router = &mut self.routers[n];
-        router.view.word(self.now, self.keys[engine], word);
+        router
+            .view
+            .self_report(self.now, self.keys[engine], self_report);
     }
 
     /// Lets a router poll an engine itself.
--- a/crates/core/tests/place/choose.rs
+++ b/crates/core/tests/place/choose.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use toucanturn_core::{
-    membership::Seen,
+    membership::Observation,
     place::moves::Recent,
     request::{
         Prefix,
@@ -115,7 +115,7 @@
     let mut router = router(3, 1, 2);
     let now = router.now;
     let suspect = router.key("near-0");
-    router.view.seen(now, suspect, Seen::Refused);
+    router.view.seen(now, suspect, Observation::Refused);
     router.loads.refresh(now, &router.view);
     let work = router.chat(7, Some(router.token("near-0", None)));
     for _ in 0..6 {
@@ -288,7 +288,7 @@
     for engine in 0..12 {
         let key = router.key(&format!("near-{engine}"));
         if engine != 4 {
-            router.view.seen(router.now, key, Seen::Refused);
+            router.view.seen(router.now, key, Observation::Refused);
         }
     }
     router.loads.refresh(router.now, &router.view);
@@ -337,7 +337,7 @@
         router.fill(&format!("near-{engine}"), 24);
     }
     let (now, suspect) = (router.now, router.key("near-11"));
-    router.view.seen(now, suspect, Seen::Refused);
+    router.view.seen(now, suspect, Observation::Refused);
     router.loads.refresh(now, &router.view);
     let work = router.chat(7, Some(router.token("near-0", None)));
     // 1.225 times 265 over 12 engines, rounded up.
--- a/crates/core/tests/place/fixture.rs
+++ b/crates/core/tests/place/fixture.rs
@@ -23,9 +23,9 @@
     ids::Id,
     load::Table,
     membership::{
-        Seen,
+        Observation,
+        SelfReport, //
         View,
-        Word, //
     },
     peer::{
         Change,
@@ -74,7 +74,7 @@
     let mut loads = Table::default();
     loads.apply(&config, me);
     for (key, _) in config.endpoints.iter() {
-        view.word(NOW, key, answer(NOW, LIFE));
+        view.self_report(NOW, key, answer(NOW, LIFE));
     }
     loads.refresh(NOW, &view);
     Router {
@@ -129,11 +129,11 @@
     Arc::clone(store.current())
 }
 
-fn answer(now: Time, life: Incarnation) -> Word {
-    Word {
+fn answer(now: Time, life: Incarnation) -> SelfReport {
+    SelfReport {
         life: Some(life),
         leaving: false,
-        seen: Seen::Answered,
+        seen: Observation::Answered,
         since: Some(now),
     }
 }
@@ -145,7 +145,7 @@
 impl Router {
     /// Hears an engine say that it is live, and which life this is.
     pub(crate) fn confirm(&mut self, key: EndpointKey, life: Incarnation) {
-        self.view.word(self.now, key, answer(self.now, life));
+        self.view.self_report(self.now, key, answer(self.now, life));
     }
 
     pub(crate) fn key(&self, name: &str) -> EndpointKey {
--- a/crates/toucanturn/src/view.rs
+++ b/crates/toucanturn/src/view.rs
@@ -14,8 +14,8 @@
     load::Table,
     membership::{
         self,
-        Seen,
-        Word, //
+        Observation,
+        SelfReport, //
     },
     units::Time,
 };
@@ -149,13 +149,13 @@
     /// Leads the core's view to a state by what a router would observe.
     fn observe(&mut self, key: EndpointKey, state: State) {
         let leaving = state == State::Leaving;
-        let word = Word {
+        let self_report = SelfReport {
             life: None,
             leaving,
-            seen: Seen::Reached,
+            seen: Observation::Reached,
             since: Some(self.now),
         };
-        self.view.word(self.now, key, word);
+        self.view.self_report(self.now, key, self_report);
         if leaving {
             return;
         }
@@ -163,7 +163,7 @@
             if self.view.state(self.now, key) == state.to_core() {
                 return;
             }
-            self.view.seen(self.now, key, Seen::Unreached);
+            self.view.seen(self.now, key, Observation::Unreached);
         }
     }
 }
