--- a/crates/core/src/node/calls.rs
+++ b/crates/core/src/node/calls.rs
@@ -1,12 +1,13 @@
-//! A call's way through the node: admission, home, placement, dispatch, refusal.
+//! The stages of a call in the node: admission, forwarding to the key's home, placement, dispatch
+//! and refusal.
 
 use std::sync::Arc;
 
 use super::{
     Node,
-    Open,
+    OpenCall,
     Stage,
-    attempt, //
+    nth_attempt, //
 };
 use crate::{
     action::{
@@ -42,44 +43,44 @@
     },
 };
 
-/// When to come back after a refusal whose cause should be over in a moment.
-pub(super) const SOON: Millis = Millis(1000);
+/// `Retry-After` of refusals whose cause is expected to pass within about a second.
+pub(super) const RETRY_AFTER: Millis = Millis(1000);
 
 impl Node {
-    pub(super) fn request(
+    pub(super) fn handle_request(
         &mut self,
         now: Now,
         call: Call,
         request: Request,
         out: &mut Vec<Action>,
     ) {
-        let admitted = matches!(request.origin, Origin::Peer(_));
+        let admitted_by_peer = matches!(request.origin, Origin::Peer(_));
         let workspace = request.workspace;
         let priority = request.priority;
-        let refuse = |code| Refusal::not_run(code, Some(SOON));
-        let early = if self.config().revision == Revision(0) {
+        let refuse = |code| Refusal::not_run(code, Some(RETRY_AFTER));
+        let early_refusal = if self.config().revision == Revision(0) {
             Some(refuse(Code::NotReady))
-        } else if self.draining.is_some() && !self.goes_on(&request) {
+        } else if self.draining_since.is_some() && !self.accepts_while_draining(&request) {
             Some(refuse(Code::Draining))
         } else if now.mono >= request.deadline {
             Some(Refusal::not_run(Code::Deadline, None))
         } else {
             None
         };
-        let open = Open {
+        let open = OpenCall {
             request,
             stage: Stage::Admission,
             attempts: 0,
             tried: Vec::new(),
-            reached: false,
-            sent: now.mono,
+            may_have_reached: false,
+            last_sent: now.mono,
         };
         self.calls.insert(call, open);
-        if let Some(refusal) = early {
+        if let Some(refusal) = early_refusal {
             return self.refuse(now, call, refusal, out);
         }
-        if admitted {
-            return self.admitted(now, call, out);
+        if admitted_by_peer {
+            return self.handle_admitted(now, call, out);
         }
         let config = Arc::clone(self.store.current());
         let mut outgo = Vec::new();
@@ -90,21 +91,26 @@
             priority,
         };
         let verdict = self.limits.admit(now.mono, &config, ask, &mut outgo);
-        self.verdict(now, call, verdict, out);
-        self.limits_out(now, outgo, out);
+        self.apply_verdict(now, call, verdict, out);
+        self.apply_limits_output(now, outgo, out);
     }
 
     pub(super) fn tick_limits(&mut self, now: Now, out: &mut Vec<Action>) {
         let config = Arc::clone(self.store.current());
         let mut outgo = Vec::new();
         self.limits.tick(now.mono, &config, self.me, &mut outgo);
-        self.limits_out(now, outgo, out);
+        self.apply_limits_output(now, outgo, out);
     }
 
-    pub(super) fn limits_out(&mut self, now: Now, outgo: Vec<Outgo>, out: &mut Vec<Action>) {
-        for one in outgo {
-            match one {
-                Outgo::Decided { call, verdict } => self.verdict(now, call, verdict, out),
+    pub(super) fn apply_limits_output(
+        &mut self,
+        now: Now,
+        outgo: Vec<Outgo>,
+        out: &mut Vec<Action>,
+    ) {
+        for output in outgo {
+            match output {
+                Outgo::Decided { call, verdict } => self.apply_verdict(now, call, verdict, out),
                 Outgo::Ask {
                     home,
                     workspace,
@@ -128,9 +134,9 @@
         }
     }
 
-    fn verdict(&mut self, now: Now, call: Call, verdict: Verdict, out: &mut Vec<Action>) {
+    fn apply_verdict(&mut self, now: Now, call: Call, verdict: Verdict, out: &mut Vec<Action>) {
         match verdict {
-            Verdict::Admit => self.admitted(now, call, out),
+            Verdict::Admit => self.handle_admitted(now, call, out),
             Verdict::Wait => {}
             Verdict::Refuse { retry_after } => {
                 let refusal = Refusal::not_run(Code::OverLimit, Some(retry_after));
@@ -139,8 +145,8 @@
         }
     }
 
-    /// Asks the gate whether a call has to be turned away for overload.
-    fn shed(&mut self, now: Now, call: Call) -> Option<Refusal> {
+    /// Gets the refusal of a call that the overload gate rejects.
+    fn check_overload(&mut self, now: Now, call: Call) -> Option<Refusal> {
         let open = self.calls.get(&call)?;
         let scene = Scene {
             config: self.store.current(),
@@ -148,8 +154,8 @@
             loads: &self.loads,
             now: now.mono,
         };
-        let sent = |o: &&Open| matches!(o.stage, Stage::Sent { .. });
-        let others = self.calls.values().filter(sent);
+        let is_dispatched = |o: &&OpenCall| matches!(o.stage, Stage::Dispatched { .. });
+        let others = self.calls.values().filter(is_dispatched);
         let others = others.map(|o| o.request.workspace);
         match self.gate.admit(scene, &open.request, others, &mut self.rng) {
             overload::Verdict::Admit => None,
@@ -160,8 +166,8 @@
         }
     }
 
-    fn admitted(&mut self, now: Now, call: Call, out: &mut Vec<Action>) {
-        if let Some(refusal) = self.shed(now, call) {
+    fn handle_admitted(&mut self, now: Now, call: Call, out: &mut Vec<Action>) {
+        if let Some(refusal) = self.check_overload(now, call) {
             return self.refuse(now, call, refusal, out);
         }
         let Some(open) = self.calls.get_mut(&call) else {
@@ -177,8 +183,8 @@
         match home {
             Some(router) if Some(router) != self.me => {
                 if from_peer {
-                    // Two routers with two fleet lists: passing it on again could go in circles.
-                    let refusal = Refusal::unknown(Code::HomeUnavailable, Some(SOON));
+                    // The routers have different fleet lists; forwarding again could loop.
+                    let refusal = Refusal::unknown(Code::HomeUnavailable, Some(RETRY_AFTER));
                     return self.refuse(now, call, refusal, out);
                 }
                 open.stage = Stage::Forwarded;
@@ -192,8 +198,8 @@
             }
             _ => match self.home.begin(now, &config, call, key, content) {
                 KeyDecision::Run => self.dispatch(now, call, out),
-                KeyDecision::Wait => open.stage = Stage::Waiting,
-                KeyDecision::Refuse(refusal) => self.give(now, call, refusal, out),
+                KeyDecision::Wait => open.stage = Stage::WaitingForFirst,
+                KeyDecision::Refuse(refusal) => self.send_refusal(now, call, refusal, out),
                 KeyDecision::Replay(answer) => {
                     self.calls.swap_remove(&call);
                     out.push(Action::Replay { call, answer });
@@ -212,8 +218,8 @@
         if let Work::Once { key, .. } = open.request.work {
             not_after = self.home.send_deadline(now, key);
             if not_after.is_none() {
-                let refusal = Refusal::not_run(Code::HomeUnavailable, Some(SOON));
-                return self.end_refused(now, call, refusal, out);
+                let refusal = Refusal::not_run(Code::HomeUnavailable, Some(RETRY_AFTER));
+                return self.refuse_admitted(now, call, refusal, out);
             }
         }
         let scene = Scene {
@@ -227,23 +233,23 @@
             .recall(scene, open.request.workspace, &open.request.work);
         let Some(placed) = place::choose(scene, &work, &open.tried, &mut self.rng) else {
             if self.view.recently_paused(now.mono) {
-                // The view is from before a pause: an endpoint may be confirmed in a moment.
-                open.stage = Stage::Later { at: now.mono };
+                // The view predates a pause of the process; the next polls may confirm an endpoint.
+                open.stage = Stage::Delayed { at: now.mono };
                 return;
             }
             return self.no_endpoint(now, call, out);
         };
         let endpoint = placed.endpoint;
         open.attempts += 1;
-        open.stage = Stage::Sent {
+        open.stage = Stage::Dispatched {
             endpoint,
-            life: self.view.incarnation(endpoint),
+            incarnation: self.view.incarnation(endpoint),
         };
         open.tried.push(endpoint);
-        open.sent = now.mono;
+        open.last_sent = now.mono;
         let load = self.loads.estimate(now.mono, endpoint);
         self.loads.sent(now.mono, endpoint);
-        let must_tell = self.loads.must_tell(endpoint, placed.limit);
+        let needs_summary = self.loads.must_tell(endpoint, placed.limit);
         let token = match (&open.request.work, config.endpoints.get(endpoint)) {
             (Work::Chat { token, .. }, Some(e)) => Some(Token {
                 last: e.tag,
@@ -252,7 +258,7 @@
             }),
             _ => None,
         };
-        let attempt = attempt(open.attempts);
+        let attempt = nth_attempt(open.attempts);
         let workspace = open.request.workspace;
         let deadline = open.request.deadline;
         let idle = config.policy.idle_timeout;
@@ -265,8 +271,8 @@
                     to: endpoint,
                 });
             }
-            let life = self.view.incarnation(endpoint);
-            self.recent.note(prefix, model, (endpoint, life));
+            let incarnation = self.view.incarnation(endpoint);
+            self.recent.note(prefix, model, (endpoint, incarnation));
         }
         out.push(Action::Dispatch {
             call,
@@ -287,33 +293,34 @@
             view_age,
         };
         out.push(Action::Log(decision));
-        if must_tell {
-            self.tell_soon(now, out);
+        if needs_summary {
+            self.send_summaries_soon(now, out);
         }
     }
 
     fn no_endpoint(&mut self, now: Now, call: Call, out: &mut Vec<Action>) {
-        let refusal = Refusal::not_run(Code::NoEndpoint, Some(SOON));
-        self.end_refused(now, call, refusal, out);
+        let refusal = Refusal::not_run(Code::NoEndpoint, Some(RETRY_AFTER));
+        self.refuse_admitted(now, call, refusal, out);
     }
 
-    /// Refuses a call. What it is told of an action that runs once must be vouched for.
+    /// Refuses a call. For a call that runs at most once, "not run" becomes "unknown" unless this
+    /// router can rule out an earlier run of its key.
     pub(super) fn refuse(&mut self, now: Now, call: Call, refusal: Refusal, out: &mut Vec<Action>) {
         let refusal = match self.calls.get(&call) {
-            Some(open) => self.vouched(now, &open.request.work, refusal),
+            Some(open) => self.correct_unverified_outcome(now, &open.request.work, refusal),
             None => return,
         };
-        self.give(now, call, refusal, out);
+        self.send_refusal(now, call, refusal, out);
     }
 
-    /// Refuses what waits for the grant of a workspace that was removed: the row that it waited in
-    /// is gone with the workspace, so that nothing else would ever answer the caller.
+    /// Refuses the calls that wait for a grant of a removed workspace. Their queue was removed with
+    /// the workspace, so nothing else would answer the callers.
     pub(super) fn refuse_removed(&mut self, now: Now, config: &Config, out: &mut Vec<Action>) {
-        let removed = |open: &Open| {
+        let is_removed = |open: &OpenCall| {
             open.stage == Stage::Admission
                 && config.workspaces.get(open.request.workspace).is_none()
         };
-        let removed = self.calls.iter().filter(|(_, open)| removed(open));
+        let removed = self.calls.iter().filter(|(_, open)| is_removed(open));
         let removed: Vec<Call> = removed.map(|(call, _)| *call).collect();
         for call in removed {
             self.limits.gone(call);
@@ -321,13 +328,19 @@
         }
     }
 
-    /// Gives a refusal; what it says of the last attempt is corrected by the earlier ones.
-    pub(super) fn give(&mut self, now: Now, call: Call, refusal: Refusal, out: &mut Vec<Action>) {
+    /// Ends a call with a refusal. Its outcome covers all attempts, not only the last one.
+    pub(super) fn send_refusal(
+        &mut self,
+        now: Now,
+        call: Call,
+        refusal: Refusal,
+        out: &mut Vec<Action>,
+    ) {
         let Some(open) = self.calls.swap_remove(&call) else {
             return;
         };
         let workspace = open.request.workspace;
-        let refusal = self.told(&open, refusal);
+        let refusal = self.correct_refusal(&open, refusal);
         let view_age = self.view_age(now);
         out.push(Action::Refuse { call, refusal });
         out.push(Action::Log(Decision::Refused {
--- a/crates/core/src/node/ends.rs
+++ b/crates/core/src/node/completion.rs
@@ -1,14 +1,14 @@
-//! How attempts and calls end: whole, failed and tried again or not, left by their caller, or told
-//! by their home.
+//! The end of attempts and calls: success, failure with or without a retry, a caller that
+//! disconnects, and the result of a call that was forwarded to its key's home.
 
 use std::sync::Arc;
 
 use super::{
     Node,
     Stage,
-    attempt,
-    calls::SOON,
+    calls::RETRY_AFTER,
     log_member, //
+    nth_attempt,
 };
 use crate::{
     action::{
@@ -31,7 +31,7 @@
 };
 
 impl Node {
-    pub(super) fn ended(
+    pub(super) fn handle_attempt_end(
         &mut self,
         now: Now,
         call: Call,
@@ -42,7 +42,12 @@
         let Some(open) = self.calls.get(&call) else {
             return;
         };
-        let Stage::Sent { endpoint, life, .. } = open.stage else {
+        let Stage::Dispatched {
+            endpoint,
+            incarnation,
+            ..
+        } = open.stage
+        else {
             return;
         };
         if attempt.0 != open.attempts {
@@ -51,7 +56,7 @@
         self.loads.ended(now.mono, endpoint);
         let changed = match &end {
             End::Whole(_) => self.view.seen(now.mono, endpoint, Observation::Finished),
-            End::NotSent { leaving: true } => self.view.leaving(now.mono, endpoint, life),
+            End::NotSent { leaving: true } => self.view.leaving(now.mono, endpoint, incarnation),
             End::NotSent { leaving: false } => {
                 self.view.seen(now.mono, endpoint, Observation::Refused)
             }
@@ -60,16 +65,16 @@
         };
         log_member(endpoint, changed, out);
         if let End::Whole(answer) = end {
-            return self.whole(now, call, answer, out);
+            return self.finish_call(now, call, answer, out);
         }
-        self.failed(now, call, attempt, end, out);
+        self.handle_attempt_failure(now, call, attempt, end, out);
     }
 
-    fn whole(&mut self, now: Now, call: Call, answer: Answer, out: &mut Vec<Action>) {
+    fn finish_call(&mut self, now: Now, call: Call, answer: Answer, out: &mut Vec<Action>) {
         let Some(open) = self.calls.swap_remove(&call) else {
             return;
         };
-        let took = now.mono.since(open.sent);
+        let took = now.mono.since(open.last_sent);
         self.gate.ended(&open.request.work, took);
         let outcome = Outcome::Done;
         out.push(Action::Finish { call, outcome });
@@ -78,32 +83,39 @@
             outcome,
             attempts: open.attempts,
         }));
-        self.end_key(now, &open.request.work, outcome, Some(answer), out);
+        self.finish_key(now, &open.request.work, outcome, Some(answer), out);
     }
 
-    fn failed(&mut self, now: Now, call: Call, attempt: Attempt, end: End, out: &mut Vec<Action>) {
+    fn handle_attempt_failure(
+        &mut self,
+        now: Now,
+        call: Call,
+        attempt: Attempt,
+        end: End,
+        out: &mut Vec<Action>,
+    ) {
         if let Some(open) = self.calls.get_mut(&call) {
-            open.reached |= !matches!(end, End::NotSent { .. });
+            open.may_have_reached |= !matches!(end, End::NotSent { .. });
         }
         let Some(open) = self.calls.get(&call) else {
             return;
         };
-        let Stage::Sent { endpoint, .. } = open.stage else {
+        let Stage::Dispatched { endpoint, .. } = open.stage else {
             return;
         };
         let policy = Arc::clone(&self.store.current().policy);
         let (request, attempts) = (&open.request, open.attempts);
-        let retried = retry::allowed(
+        let may_retry = retry::allowed(
             &policy,
-            &self.repeated_as(&request.work),
+            &self.work_for_retry(&request.work),
             attempts,
             &end,
             now.mono,
             request.deadline,
         );
-        let wait = retry::pause(attempts, &mut self.rng);
-        let in_time = now.mono + wait < request.deadline;
-        let retried = retried && in_time && self.budget.take();
+        let backoff = retry::pause(attempts, &mut self.rng);
+        let in_time = now.mono + backoff < request.deadline;
+        let retried = may_retry && in_time && self.budget.take();
         out.push(Action::Log(Decision::AttemptFailed {
             call,
             attempt,
@@ -111,16 +123,16 @@
             retried,
         }));
         if retried {
-            self.mark_may_have_run(call, &end);
-            return self.again(now, call, wait, out);
+            self.mark_key_reached(call, &end);
+            return self.schedule_retry(now, call, backoff, out);
         }
         let work = request.work.clone();
         match end {
             End::Cancelled => {
                 self.calls.swap_remove(&call);
-                self.end_key(now, &work, Outcome::Unknown, None, out);
+                self.finish_key(now, &work, Outcome::Unknown, None, out);
             }
-            // An endpoint's own error is an answer; the caller gets it as it is.
+            // An error response of the endpoint is a complete answer: the caller gets it unchanged.
             End::Failed(_) => {
                 let outcome = Outcome::Unknown;
                 self.calls.swap_remove(&call);
@@ -130,29 +142,29 @@
                     outcome,
                     attempts,
                 }));
-                self.end_key(now, &work, outcome, None, out);
+                self.finish_key(now, &work, outcome, None, out);
             }
             End::NotSent { .. } => {
-                let refusal = Refusal::not_run(Code::EndpointFailed, Some(SOON));
-                self.end_refused(now, call, refusal, out);
+                let refusal = Refusal::not_run(Code::EndpointFailed, Some(RETRY_AFTER));
+                self.refuse_admitted(now, call, refusal, out);
             }
             End::Broken { .. } | End::Whole(_) => {
-                let refusal = Refusal::unknown(Code::EndpointFailed, Some(SOON));
-                self.end_refused(now, call, refusal, out);
+                let refusal = Refusal::unknown(Code::EndpointFailed, Some(RETRY_AFTER));
+                self.refuse_admitted(now, call, refusal, out);
             }
         }
     }
 
-    pub(super) fn gone(&mut self, now: Now, call: Call, out: &mut Vec<Action>) {
+    pub(super) fn handle_caller_disconnect(&mut self, now: Now, call: Call, out: &mut Vec<Action>) {
         let Some(open) = self.calls.get(&call) else {
             return;
         };
         let work = open.request.work.clone();
         match open.stage {
-            // A call that runs once goes on: its repeat wants the answer.
-            Stage::Sent { .. } if matches!(work, Work::Once { .. }) => {}
-            Stage::Sent { endpoint, .. } => {
-                let attempt = attempt(open.attempts);
+            // A call that runs at most once continues: a repeat with its key gets the answer.
+            Stage::Dispatched { .. } if matches!(work, Work::Once { .. }) => {}
+            Stage::Dispatched { endpoint, .. } => {
+                let attempt = nth_attempt(open.attempts);
                 self.loads.ended(now.mono, endpoint);
                 self.calls.swap_remove(&call);
                 out.push(Action::Cancel { call, attempt });
@@ -161,28 +173,28 @@
                 self.limits.gone(call);
                 self.calls.swap_remove(&call);
             }
-            Stage::Later { .. } => {
+            Stage::Delayed { .. } => {
                 self.calls.swap_remove(&call);
-                self.end_key(now, &work, Outcome::NotRun, None, out);
+                self.finish_key(now, &work, Outcome::NotRun, None, out);
             }
             Stage::Forwarded => {
                 self.calls.swap_remove(&call);
             }
-            Stage::Waiting => {
-                self.stop_waiting(call, &work);
+            Stage::WaitingForFirst => {
+                self.remove_waiter(call, &work);
                 self.calls.swap_remove(&call);
             }
         }
     }
 
-    pub(super) fn forward_failed(&mut self, now: Now, call: Call, out: &mut Vec<Action>) {
-        // Whether it was sent makes no difference: an earlier request with this key may have run at
-        // the home, so even what was not sent is only unknown to this router.
-        let refusal = Refusal::unknown(Code::HomeUnavailable, Some(SOON));
-        self.give(now, call, refusal, out);
+    pub(super) fn handle_forward_failure(&mut self, now: Now, call: Call, out: &mut Vec<Action>) {
+        // The outcome is unknown even if the forward was not sent: the home may have run an earlier
+        // request with this key.
+        let refusal = Refusal::unknown(Code::HomeUnavailable, Some(RETRY_AFTER));
+        self.send_refusal(now, call, refusal, out);
     }
 
-    pub(super) fn forward_done(
+    pub(super) fn handle_forward_done(
         &mut self,
         now: Now,
         call: Call,
@@ -190,7 +202,7 @@
         out: &mut Vec<Action>,
     ) {
         if let Some(refusal) = refusal {
-            return self.give(now, call, refusal, out);
+            return self.send_refusal(now, call, refusal, out);
         }
         if self.calls.swap_remove(&call).is_none() {
             return;
--- a/crates/core/src/node/endpoints.rs
+++ b/crates/core/src/node/endpoints.rs
@@ -1,10 +1,11 @@
-//! What a node hears from endpoints and of them, and whom it asks.
+//! Handling of polls, probes, response heads and the platform's VM list, and the schedule of polls,
+//! probes and list reads.
 
 use std::sync::Arc;
 
 use super::{
     Node,
-    Open,
+    OpenCall,
     Stage,
     log_member, //
 };
@@ -25,15 +26,16 @@
     },
 };
 
-/// Least time between two readings of the platform's list of VMs.
-const LIST_INTERVAL: Millis = Millis(1000);
+/// Shortest time between two reads of the platform's VM list.
+const VM_LIST_INTERVAL: Millis = Millis(1000);
 
-/// Endpoints whose entries in the list may be read in that time; a longer list is read less often,
-/// as each reading brings the whole. An endpoint's own word comes sooner anyway.
-const LISTED_AT_ONCE: u64 = 100;
+/// Endpoints up to which the VM list is read every [`VM_LIST_INTERVAL`]. Each read transfers the
+/// whole list, so the time between reads grows with the number of endpoints. An endpoint's own
+/// reports arrive sooner anyway.
+const VM_ENTRIES_PER_INTERVAL: u64 = 100;
 
 impl Node {
-    pub(super) fn vms(
+    pub(super) fn handle_vm_list(
         &mut self,
         now: Now,
         age: Millis,
@@ -41,14 +43,14 @@
         out: &mut Vec<Action>,
     ) {
         let config = Arc::clone(self.config());
-        let key = |(id, state): &(Id, _)| Some((config.endpoints.key(id)?, *state));
-        let vms: Vec<_> = vms.iter().filter_map(key).collect();
-        for (key, state) in self.view.listed(now.mono, age, &vms) {
+        let by_key = |(id, state): &(Id, _)| Some((config.endpoints.key(id)?, *state));
+        let states: Vec<_> = vms.iter().filter_map(by_key).collect();
+        for (key, state) in self.view.listed(now.mono, age, &states) {
             log_member(key, Some(state), out);
         }
     }
 
-    pub(super) fn polled(
+    pub(super) fn handle_poll_result(
         &mut self,
         now: Now,
         endpoint: EndpointKey,
@@ -63,27 +65,27 @@
         self.loads.report(now.mono, endpoint, &report);
         self.orders.report(now.mono, endpoint, &report);
         let self_report = SelfReport {
-            // A plain service may not state its life.
-            life: Some(report.incarnation).filter(|life| *life != Incarnation(0)),
+            // A plain service may not report an incarnation.
+            life: Some(report.incarnation).filter(|incarnation| *incarnation != Incarnation(0)),
             leaving: report.leaving,
             seen: Observation::Reached,
             since: None,
         };
-        self.reports.insert(endpoint, (now.mono, report));
+        self.polled_reports.insert(endpoint, (now.mono, report));
         let changed = self.view.self_report(now.mono, endpoint, self_report);
         log_member(endpoint, changed, out);
     }
 
-    pub(super) fn head_load(&mut self, now: Now, call: Call, in_flight: Option<u32>) {
+    pub(super) fn update_load_from_head(&mut self, now: Now, call: Call, in_flight: Option<u32>) {
         if let Some(open) = self.calls.get(&call)
-            && let Stage::Sent { endpoint, .. } = open.stage
+            && let Stage::Dispatched { endpoint, .. } = open.stage
             && let Some(in_flight) = in_flight
         {
             self.loads.stated(now.mono, endpoint, in_flight);
         }
     }
 
-    pub(super) fn head(
+    pub(super) fn handle_response_head(
         &mut self,
         now: Now,
         call: Call,
@@ -91,9 +93,9 @@
         incarnation: Option<Incarnation>,
         out: &mut Vec<Action>,
     ) {
-        let Some(Open {
-            stage: Stage::Sent { endpoint, .. },
-            sent,
+        let Some(OpenCall {
+            stage: Stage::Dispatched { endpoint, .. },
+            last_sent,
             ..
         }) = self.calls.get(&call)
         else {
@@ -104,7 +106,7 @@
             life: incarnation,
             leaving,
             seen: Observation::Answered,
-            since: Some(*sent),
+            since: Some(*last_sent),
         };
         let changed = self.view.self_report(now.mono, endpoint, self_report);
         log_member(endpoint, changed, out);
@@ -115,8 +117,8 @@
         for (endpoint, state) in self.view.changes(now.mono) {
             log_member(endpoint, Some(state), out);
         }
-        // Polls come first out of the bound that they share with probes: a region that is cut off
-        // needs probes without end, and endpoints that are well would get no work for want of polls.
+        // Polls and probes share one limit, and polls go first: an unreachable region needs
+        // probes continually, and without polls the healthy endpoints would get no requests.
         for endpoint in self.view.to_poll(now.mono, &config.policy) {
             self.view.asked(now.mono, endpoint);
             out.push(Action::Poll { endpoint });
@@ -125,11 +127,12 @@
             self.view.asked(now.mono, endpoint);
             out.push(Action::Probe { endpoint });
         }
-        let parts = (config.endpoints.len() as u64)
-            .div_ceil(LISTED_AT_ONCE)
+        let intervals = (config.endpoints.len() as u64)
+            .div_ceil(VM_ENTRIES_PER_INTERVAL)
             .max(1);
-        if now.mono.since(self.listed) >= Millis(LIST_INTERVAL.0.saturating_mul(parts)) {
-            self.listed = now.mono;
+        if now.mono.since(self.last_vm_read) >= Millis(VM_LIST_INTERVAL.0.saturating_mul(intervals))
+        {
+            self.last_vm_read = now.mono;
             out.push(Action::ReadVms);
         }
     }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,8 +1,9 @@
-//! One router's decisions as a whole: events and time in, actions out.
+//! The decision logic of one router as a state machine: it takes events with their times and
+//! returns actions.
 //!
-//! [`Node`] owns the parts that each decide one matter (configuration, membership, load, limits,
-//! keys, retries) and leads every event through them. It does no I/O: the driver carries out the
-//! actions and reports what came of them as events.
+//! [`Node`] owns one component per concern (configuration, membership, load, limits, idempotency
+//! keys, retries) and passes each event to those that it affects. It does no I/O: the driver
+//! carries out the actions and reports their results as events.
 
 use std::sync::Arc;
 
@@ -64,70 +65,73 @@
 };
 
 mod calls;
+mod completion;
+mod config_reads;
 mod endpoints;
-mod ends;
 mod once;
 mod orders;
 mod peers;
-mod reading;
 mod retries;
 
-use reading::{
-    Brought,
-    Reading, //
+use config_reads::{
+    ConfigReads, //
+    ReadResult,
 };
 
-/// `Options` is what a node must know of itself.
+/// `Options` is the identity of a node and the seed of its random numbers.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Its name in the published fleet.
+    /// The router's name in the published fleet list.
     pub id: Id,
-    /// This life of it; greater than that of any earlier life.
+    /// Number of this run of the process; greater than that of any earlier run.
     pub incarnation: Incarnation,
-    /// Seed of its random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
 }
 
-/// `Peer` is what a node knows of another router.
+/// `Peer` is the state that a node keeps about another router.
 #[derive(Clone, Copy, Debug, Default)]
 struct Peer {
     revision: Revision,
-    heard: Option<Time>,
+    /// When its last message arrived.
+    last_heard: Option<Time>,
 }
 
-/// `Open` is a call in progress.
+/// `OpenCall` is the state of a call in progress.
 #[derive(Clone, Debug)]
-struct Open {
+struct OpenCall {
     request: Request,
     stage: Stage,
     attempts: u32,
     tried: Vec<EndpointKey>,
-    /// Whether bytes of an attempt may have reached an endpoint, so that "not run" can't be said.
-    reached: bool,
-    /// When it came, or its last attempt was sent.
-    sent: Time,
+    /// Whether bytes of an attempt may have reached an endpoint, which rules out the outcome "not
+    /// run".
+    may_have_reached: bool,
+    /// When the last attempt was sent; before the first attempt, when the call arrived.
+    last_sent: Time,
 }
 
-/// `Stage` says what an open call waits for.
+/// `Stage` is what an open call waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// A grant of the workspace's home.
+    /// A grant from the workspace's home.
     Admission,
-    /// The answer of the key's home.
+    /// The answer from the home of the call's idempotency key.
     Forwarded,
-    /// The answer to the first request with the same key, here at the home.
-    Waiting,
-    /// The answer of an endpoint.
-    Sent {
+    /// The answer to an earlier request with the same key; this router is the key's home.
+    WaitingForFirst,
+    /// The response of an endpoint.
+    Dispatched {
         endpoint: EndpointKey,
-        /// The endpoint's life then, as far as known.
-        life: Incarnation,
+        /// The endpoint's incarnation when the attempt was sent, as far as known.
+        incarnation: Incarnation,
     },
-    /// A time to be placed again: after a backoff, or when an endpoint is confirmed.
-    Later { at: Time },
+    /// The time of the next placement: the end of a backoff, or the next tick while the view of
+    /// endpoints is confirmed after a pause of the process.
+    Delayed { at: Time },
 }
 
-/// `Node` is one router.
+/// `Node` is the state of one router.
 #[derive(Debug)]
 pub struct Node {
     options: Options,
@@ -143,25 +147,27 @@
     budget: Budget,
     orders: Orders,
     peers: SecondaryMap<RouterKey, Peer>,
-    calls: IndexMap<Call, Open>,
-    reports: SecondaryMap<EndpointKey, (Time, Report)>,
-    listed: Time,
-    summarized: Time,
-    // Whether peers are to hear of own requests before the next summary is due.
-    early: bool,
+    calls: IndexMap<Call, OpenCall>,
+    /// Reports of polls since the last summary, with the times at which they arrived.
+    polled_reports: SecondaryMap<EndpointKey, (Time, Report)>,
+    last_vm_read: Time,
+    last_summary: Time,
+    /// Whether a summary is due before the regular interval ends.
+    summary_due: bool,
     started: Time,
-    reading: Reading,
+    config_reads: ConfigReads,
+    /// Whether a peer has answered a pull, or this node has stopped waiting for one.
     synced: bool,
-    draining: Option<Time>,
+    draining_since: Option<Time>,
     exited: bool,
 }
 
 impl Node {
-    /// Makes a node that knows nothing yet.
+    /// Makes a node without a configuration.
     pub fn new(options: Options, now: Now) -> Self {
         let rng = StdRng::seed_from_u64(options.seed);
         let home = Home::new(now, options.incarnation);
-        let reading = Reading::new(options.seed);
+        let config_reads = ConfigReads::new(options.seed);
         Self {
             options,
             rng,
@@ -177,14 +183,14 @@
             orders: Orders::default(),
             peers: SecondaryMap::new(),
             calls: IndexMap::new(),
-            reports: SecondaryMap::new(),
-            listed: Time(0),
-            summarized: now.mono,
-            early: false,
+            polled_reports: SecondaryMap::new(),
+            last_vm_read: Time(0),
+            last_summary: now.mono,
+            summary_due: false,
             started: now.mono,
-            reading,
+            config_reads,
             synced: false,
-            draining: None,
+            draining_since: None,
             exited: false,
         }
     }
@@ -194,22 +200,22 @@
         self.store.current()
     }
 
-    /// Gets this router's key in the fleet; `None` while it is not in the published list.
+    /// Gets this router's key in the fleet; `None` while the published fleet list lacks it.
     pub fn me(&self) -> Option<RouterKey> {
         self.me
     }
 
-    /// Gets this life's number.
+    /// Gets the incarnation of this process.
     pub fn incarnation(&self) -> Incarnation {
         self.options.incarnation
     }
 
-    /// Gets the view of endpoints.
+    /// Gets the membership view of the endpoints.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Gets the loads of endpoints.
+    /// Gets the load estimates of the endpoints.
     pub fn loads(&self) -> &Table {
         &self.loads
     }
@@ -219,19 +225,19 @@
         self.calls.len()
     }
 
-    /// Tells whether callers may be sent here: a configuration is in force, peers were asked for a
-    /// newer one, and no drain is on.
+    /// Tells whether this router is ready for callers: a configuration is in force, peers have been
+    /// asked for a newer one, and the router is not draining.
     pub fn ready(&self) -> bool {
-        self.synced && self.draining.is_none() && self.store.current().revision > Revision(0)
+        self.synced && self.draining_since.is_none() && self.store.current().revision > Revision(0)
     }
 
-    /// Handles one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Now, event: Event, out: &mut Vec<Action>) {
         if self.view.advance(now.mono).is_some() {
             self.orders.woke(now.mono);
         }
         match event {
-            Event::Request { call, request } => self.request(now, call, request, out),
+            Event::Request { call, request } => self.handle_request(now, call, request, out),
             Event::Head {
                 call,
                 attempt,
@@ -240,25 +246,29 @@
                 incarnation,
             } => {
                 let _ = attempt;
-                self.head_load(now, call, in_flight);
-                self.head(now, call, leaving, incarnation, out);
+                self.update_load_from_head(now, call, in_flight);
+                self.handle_response_head(now, call, leaving, incarnation, out);
             }
-            Event::Ended { call, attempt, end } => self.ended(now, call, attempt, end, out),
-            Event::ForwardFailed { call, sent: _ } => self.forward_failed(now, call, out),
+            Event::Ended { call, attempt, end } => {
+                self.handle_attempt_end(now, call, attempt, end, out)
+            }
+            Event::ForwardFailed { call, sent: _ } => self.handle_forward_failure(now, call, out),
             Event::ForwardDone {
                 call,
                 outcome,
                 refusal,
-            } => self.forward_done(now, call, (outcome, refusal), out),
-            Event::Gone { call } => self.gone(now, call, out),
-            Event::Polled { endpoint, report } => self.polled(now, endpoint, report, out),
+            } => self.handle_forward_done(now, call, (outcome, refusal), out),
+            Event::Gone { call } => self.handle_caller_disconnect(now, call, out),
+            Event::Polled { endpoint, report } => {
+                self.handle_poll_result(now, endpoint, report, out)
+            }
             Event::Probed { endpoint, answered } => {
-                let seen = if answered {
+                let contact = if answered {
                     Observation::Reached
                 } else {
                     Observation::Unreached
                 };
-                let changed = self.view.seen(now.mono, endpoint, seen);
+                let changed = self.view.seen(now.mono, endpoint, contact);
                 log_member(endpoint, changed, out);
             }
             Event::Peer {
@@ -266,54 +276,54 @@
                 incarnation,
                 message,
             } => {
-                self.peer(now, from, incarnation, message, out);
+                self.handle_peer_message(now, from, incarnation, message, out);
             }
-            Event::PeerFailed { router } => self.peer_failed(now, router, out),
+            Event::PeerFailed { router } => self.handle_peer_failure(now, router, out),
             Event::Publish { source, change } => {
-                let held = self.store.held();
-                self.publish(now, &change, out);
+                let held_before = self.store.held();
+                self.apply_change(now, &change, out);
                 if source == Source::Service {
-                    let news = self.store.held() > held;
-                    let brought = if news {
-                        Brought::News
+                    let is_newer = self.store.held() > held_before;
+                    let result = if is_newer {
+                        ReadResult::NewRevision
                     } else {
-                        Brought::Nothing
+                        ReadResult::NoChange
                     };
-                    self.reading.end(now.mono, brought);
+                    self.config_reads.end(now.mono, result);
                     self.orders.read(now.mono);
                 }
             }
             Event::ReadFailed => {
-                self.reading.end(now.mono, Brought::Nothing);
+                self.config_reads.end(now.mono, ReadResult::NoChange);
             }
-            Event::Vms { age, vms } => self.vms(now, age, &vms, out),
+            Event::Vms { age, vms } => self.handle_vm_list(now, age, &vms, out),
             Event::Weights {
                 endpoint,
                 number,
                 grant,
-            } => self.weights(now, (endpoint, number), grant, out),
+            } => self.handle_weight_grant(now, (endpoint, number), grant, out),
             Event::OrderEnded {
                 endpoint,
                 number,
                 reply,
-            } => self.order_ended(now, (endpoint, number), reply, out),
+            } => self.handle_order_end(now, (endpoint, number), reply, out),
             Event::Cache { .. } => self.view.heard(now.mono),
             Event::Tick => self.tick(now, out),
-            Event::Drain => self.drain(now, out),
+            Event::Drain => self.start_drain(now, out),
         }
     }
 
-    fn publish(&mut self, now: Now, change: &crate::peer::Change, out: &mut Vec<Action>) {
+    fn apply_change(&mut self, now: Now, change: &crate::peer::Change, out: &mut Vec<Action>) {
         match self.store.apply(change) {
-            Ok(()) => self.applied(now, out),
+            Ok(()) => self.config_applied(now, out),
             Err(store::Error::Invalid { faults }) => {
                 let lines: Vec<_> = faults.iter().map(store::Fault::to_string).collect();
                 let errors = lines.join("\n");
                 let revision = change.revision;
                 out.push(Action::Log(Decision::Rejected { revision, errors }));
             }
-            // An older, overlapping or broken change is what a lagging or faulty service or peer
-            // sends; what is in force stays.
+            // A lagging or faulty service or peer sends old, overlapping or malformed changes; the
+            // configuration in force stays.
             Err(
                 store::Error::Old { .. }
                 | store::Error::Gap { .. }
@@ -322,10 +332,10 @@
         }
     }
 
-    fn applied(&mut self, now: Now, out: &mut Vec<Action>) {
+    fn config_applied(&mut self, now: Now, out: &mut Vec<Action>) {
         let config = Arc::clone(self.store.current());
         self.me = config.fleet.key(&self.options.id);
-        self.reading.apply(&config, self.me);
+        self.config_reads.apply(&config, self.me);
         self.view.apply(now.mono, &config);
         self.view.assign(&config, self.me);
         self.loads.apply(&config, self.me);
@@ -347,8 +357,8 @@
     }
 
     fn tick(&mut self, now: Now, out: &mut Vec<Action>) {
-        let heard = self.peers.values().filter_map(|p| p.heard).max();
-        if self.reading.begin(now.mono, heard) {
+        let last_heard = self.peers.values().filter_map(|p| p.last_heard).max();
+        if self.config_reads.begin(now.mono, last_heard) {
             let since = self.store.next_read();
             out.push(Action::Watch { since });
         }
@@ -357,8 +367,8 @@
         self.tick_endpoints(now, out);
         self.tick_peers(now, out);
         self.tick_limits(now, out);
-        self.tick_waiting(now, out);
-        self.tick_later(now, out);
+        self.expire_waiting(now, out);
+        self.dispatch_delayed(now, out);
         self.tick_orders(now, out);
         self.tick_drain(now, out);
     }
@@ -371,19 +381,19 @@
             loads: &self.loads,
             now: now.mono,
         };
-        for moved in self.recent.moves(scene) {
+        for prefix_move in self.recent.moves(scene) {
             out.push(Action::Import {
                 call: None,
-                prefix: moved.prefix,
-                from: moved.from,
-                to: moved.to,
+                prefix: prefix_move.prefix,
+                from: prefix_move.from,
+                to: prefix_move.to,
             });
         }
     }
 
-    fn drain(&mut self, now: Now, out: &mut Vec<Action>) {
-        if self.draining.is_none() {
-            self.draining = Some(now.mono);
+    fn start_drain(&mut self, now: Now, out: &mut Vec<Action>) {
+        if self.draining_since.is_none() {
+            self.draining_since = Some(now.mono);
             out.push(Action::Log(Decision::Draining {
                 open: self.calls.len(),
             }));
@@ -392,9 +402,9 @@
     }
 
     fn tick_drain(&mut self, now: Now, out: &mut Vec<Action>) {
-        let Some(since) = self.draining else { return };
-        let late = now.mono.since(since) >= self.config().policy.drain_deadline;
-        if !self.exited && (self.calls.is_empty() || late) {
+        let Some(t) = self.draining_since else { return };
+        let expired = now.mono.since(t) >= self.config().policy.drain_deadline;
+        if !self.exited && (self.calls.is_empty() || expired) {
             self.exited = true;
             out.push(Action::Exit {
                 cut: self.calls.len(),
@@ -417,7 +427,6 @@
     }
 }
 
-/// Makes the attempt number of the n-th attempt.
-const fn attempt(n: u32) -> Attempt {
+const fn nth_attempt(n: u32) -> Attempt {
     Attempt(n)
 }
--- a/crates/core/src/node/once.rs
+++ b/crates/core/src/node/once.rs
@@ -1,11 +1,11 @@
-//! Calls that run at most once, on their way through the node: what their home vouches for, those
-//! that wait for a first answer, and when a broken attempt may be repeated.
+//! Calls that run at most once: which outcome a key's home may state, repeats that wait for the
+//! answer to the first request, and whether a broken attempt may be retried.
 
 use std::sync::Arc;
 
 use super::{
     Node,
-    Open,
+    OpenCall,
     Stage, //
 };
 use crate::{
@@ -37,52 +37,59 @@
     },
 };
 
-/// When a repeat that waited in vain should come back.
-const COME_BACK: Millis = Millis(1000);
+/// `Retry-After` of repeats that waited for an answer and got none.
+const WAITER_RETRY_AFTER: Millis = Millis(1000);
 
-/// Keys tried to find one that this router is home to.
-const TRIES: u128 = 4096;
+/// Generated keys that are tried to find one whose home is this router.
+const MAX_KEY_CANDIDATES: u128 = 4096;
 
 impl Node {
-    /// Tells whether any key that a caller makes now and that has its home here would be run: this
-    /// router holds its lease and has been home for long enough. A fresh fleet, a fresh router and
-    /// every router after a change of the fleet list need a while.
+    /// Tells whether this router would run any key that is created now and has its home here: it
+    /// holds its lease and has been home long enough. This takes a while in a new fleet, on a new
+    /// router, and on every router after a change of the fleet list.
     pub fn takes_keys(&self, now: Now) -> bool {
         let config = self.store.current();
-        let dated = |n: u128| Key {
+        let key_created_now = |n: u128| Key {
             workspace: Tag::default(),
             uuid: u128::from(now.wall.0) << 80 | n,
         };
-        let own = |key: &Key| self.me.is_some() && config.home(key.item()) == self.me;
-        let key = (0..TRIES).map(dated).find(own);
+        let is_home = |key: &Key| self.me.is_some() && config.home(key.item()) == self.me;
+        let key = (0..MAX_KEY_CANDIDATES).map(key_created_now).find(is_home);
         self.home.accepts_new_keys(now, config)
             && key.is_some_and(|key| self.home.proves_not_run(now, config, key))
     }
 
-    /// Tells whether this router, as the home, remembers a request with the key of `work`.
-    fn remembers(&self, work: &Work) -> bool {
+    /// Tells whether this router, as the home, has a record of a request with the key of `work`.
+    fn remembers_key(&self, work: &Work) -> bool {
         matches!(work, Work::Once { key, .. } if self.home.remembers(*key))
     }
 
-    /// Tells whether a draining router still takes a call as its home: a key that it remembers, or
-    /// any that a peer brings while calls of its own callers keep it up anyway. Nobody else may run
-    /// these keys before it is gone, so refusing them early would only make the gap longer.
-    pub(super) fn goes_on(&self, request: &Request) -> bool {
+    /// Tells whether a draining router still accepts a call as the home of its key. It accepts keys
+    /// that it remembers, and any key that a peer forwards while calls of its own callers keep it
+    /// running anyway. No other router may run these keys before this one exits, so refusing them
+    /// sooner would only make the time without a home longer.
+    pub(super) fn accepts_while_draining(&self, request: &Request) -> bool {
         let Work::Once { .. } = request.work else {
             return false;
         };
-        let end = self.draining.unwrap_or_default() + self.config().policy.drain_deadline;
-        let own = |open: &Open| open.request.origin == Origin::Caller;
+        let drain_end =
+            self.draining_since.unwrap_or_default() + self.config().policy.drain_deadline;
+        let from_own_caller = |open: &OpenCall| open.request.origin == Origin::Caller;
         let forwarded = request.origin != Origin::Caller
-            && request.deadline <= end
-            && self.calls.values().any(own);
-        forwarded || self.remembers(&request.work)
+            && request.deadline <= drain_end
+            && self.calls.values().any(from_own_caller);
+        forwarded || self.remembers_key(&request.work)
     }
 
-    /// Turns "not run" into "unknown" for a key that this router doesn't answer for: an earlier
-    /// request with it may have run by way of another router, and the caller would run it anew
-    /// under another key.
-    pub(super) fn vouched(&self, now: Now, work: &Work, refusal: Refusal) -> Refusal {
+    /// Turns "not run" into "unknown" for a key that this router can't vouch for: an earlier
+    /// request with the key may have run through another router. Told "not run", the caller would
+    /// run the action again under another key.
+    pub(super) fn correct_unverified_outcome(
+        &self,
+        now: Now,
+        work: &Work,
+        refusal: Refusal,
+    ) -> Refusal {
         let Work::Once { key, .. } = work else {
             return refusal;
         };
@@ -94,8 +101,9 @@
         Refusal { outcome, ..refusal }
     }
 
-    /// Ends a call that got to its home with a refusal, and those that wait for its answer.
-    pub(super) fn end_refused(
+    /// Refuses a call after its admission. If it has a key, also ends the key and answers the
+    /// repeats that wait for it.
+    pub(super) fn refuse_admitted(
         &mut self,
         now: Now,
         call: Call,
@@ -106,16 +114,17 @@
             return;
         };
         let Work::Once { key, .. } = open.request.work else {
-            return self.give(now, call, refusal, out);
+            return self.send_refusal(now, call, refusal, out);
         };
         let ended = self.home.end(key, refusal.outcome, None);
         let outcome = ended.outcome;
-        self.give(now, call, Refusal { outcome, ..refusal }, out);
-        self.release(now, ended, refusal.code, out);
+        self.send_refusal(now, call, Refusal { outcome, ..refusal }, out);
+        self.answer_waiters(now, ended, refusal.code, out);
     }
 
-    /// Notes the end of a call with an answer, and gives it to those that wait for it.
-    pub(super) fn end_key(
+    /// Records the end of a call and its answer, if any, under its key, and answers the repeats
+    /// that wait for it.
+    pub(super) fn finish_key(
         &mut self,
         now: Now,
         work: &Work,
@@ -125,19 +134,25 @@
     ) {
         if let Work::Once { key, .. } = work {
             let ended = self.home.end(*key, outcome, answer);
-            self.release(now, ended, Code::EndpointFailed, out);
+            self.answer_waiters(now, ended, Code::EndpointFailed, out);
         }
     }
 
-    fn release(&mut self, now: Now, ended: KeyCompletion, code: Code, out: &mut Vec<Action>) {
+    fn answer_waiters(
+        &mut self,
+        now: Now,
+        ended: KeyCompletion,
+        code: Code,
+        out: &mut Vec<Action>,
+    ) {
         for call in ended.waiters {
             let Some(answer) = ended.answer.clone() else {
                 let refusal = Refusal {
                     code,
                     outcome: ended.outcome,
-                    retry_after: Some(COME_BACK),
+                    retry_after: Some(WAITER_RETRY_AFTER),
                 };
-                self.give(now, call, refusal, out);
+                self.send_refusal(now, call, refusal, out);
                 continue;
             };
             if self.calls.swap_remove(&call).is_some() {
@@ -147,35 +162,38 @@
         }
     }
 
-    pub(super) fn stop_waiting(&mut self, call: Call, work: &Work) {
+    pub(super) fn remove_waiter(&mut self, call: Call, work: &Work) {
         if let Work::Once { key, .. } = work {
             self.home.stop_waiting(*key, call);
         }
     }
 
-    /// Refuses the repeats whose deadline came before the first answer.
-    pub(super) fn tick_waiting(&mut self, now: Now, out: &mut Vec<Action>) {
-        let late = |open: &Open| open.stage == Stage::Waiting && now.mono >= open.request.deadline;
-        let late = self.calls.iter().filter(|(_, open)| late(open));
+    /// Refuses the waiting repeats whose deadline has passed without an answer.
+    pub(super) fn expire_waiting(&mut self, now: Now, out: &mut Vec<Action>) {
+        let is_late = |open: &OpenCall| {
+            open.stage == Stage::WaitingForFirst && now.mono >= open.request.deadline
+        };
+        let late = self.calls.iter().filter(|(_, open)| is_late(open));
         let late: Vec<(Call, Work)> = late
             .map(|(call, open)| (*call, open.request.work.clone()))
             .collect();
         for (call, work) in late {
-            self.stop_waiting(call, &work);
-            let refusal = Refusal::unknown(Code::KeyInProgress, Some(COME_BACK));
-            self.give(now, call, refusal, out);
+            self.remove_waiter(call, &work);
+            let refusal = Refusal::unknown(Code::KeyInProgress, Some(WAITER_RETRY_AFTER));
+            self.send_refusal(now, call, refusal, out);
         }
     }
 
-    /// Gets what a call counts as when an attempt of it is to be repeated: where every replica of
-    /// the service checks keys, the service itself runs it at most once.
-    pub(super) fn repeated_as(&self, work: &Work) -> Work {
+    /// Gets the work by which a retry of a call is decided. Where every replica of the service
+    /// checks keys, the service itself runs the call at most once, so the call counts as
+    /// idempotent.
+    pub(super) fn work_for_retry(&self, work: &Work) -> Work {
         let Work::Once { service, .. } = *work else {
             return work.clone();
         };
         let config = self.store.current();
-        let replica = |e: &&Arc<Endpoint>| e.service == Some(service);
-        let mut replicas = config.endpoints.iter().map(|(_, e)| e).filter(replica);
+        let is_replica = |e: &&Arc<Endpoint>| e.service == Some(service);
+        let mut replicas = config.endpoints.iter().map(|(_, e)| e).filter(is_replica);
         if replicas.all(|e| e.key_check == Check::Checked) {
             let idempotent = true;
             return Work::Plain {
@@ -186,8 +204,8 @@
         work.clone()
     }
 
-    /// Notes that an attempt which is now repeated may have reached an endpoint.
-    pub(super) fn mark_may_have_run(&mut self, call: Call, end: &End) {
+    /// Records with the key that an attempt which is now retried may have reached an endpoint.
+    pub(super) fn mark_key_reached(&mut self, call: Call, end: &End) {
         let Some(open) = self.calls.get(&call) else {
             return;
         };
--- a/crates/core/src/node/orders.rs
+++ b/crates/core/src/node/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines as actions and log lines.
+//! Turns the steps of [`Orders`](crate::orders::Orders) into actions and log lines.
 
 use std::sync::Arc;
 
@@ -21,8 +21,8 @@
 
 impl Node {
     pub(super) fn tick_orders(&mut self, now: Now, out: &mut Vec<Action>) {
-        // A router that is about to go starts nothing that it can't see to its end.
-        if self.draining.is_some() {
+        // A draining router may exit before an order ends, so it starts none.
+        if self.draining_since.is_some() {
             return;
         }
         let config = Arc::clone(self.store.current());
@@ -34,13 +34,13 @@
         };
         let mut steps = Vec::new();
         self.orders.tick(scene, &mut steps);
-        self.order_steps(now, steps, out);
+        self.apply_order_steps(now, steps, out);
     }
 
-    pub(super) fn weights(
+    pub(super) fn handle_weight_grant(
         &mut self,
         now: Now,
-        question: (EndpointKey, Number),
+        order: (EndpointKey, Number),
         grant: Grant,
         out: &mut Vec<Action>,
     ) {
@@ -53,11 +53,11 @@
         };
         let mut steps = Vec::new();
         self.orders
-            .granted(scene, question, grant, &mut self.rng, &mut steps);
-        self.order_steps(now, steps, out);
+            .granted(scene, order, grant, &mut self.rng, &mut steps);
+        self.apply_order_steps(now, steps, out);
     }
 
-    pub(super) fn order_ended(
+    pub(super) fn handle_order_end(
         &mut self,
         now: Now,
         order: (EndpointKey, Number),
@@ -77,7 +77,7 @@
         }
     }
 
-    fn order_steps(&mut self, now: Now, steps: Vec<Step>, out: &mut Vec<Action>) {
+    fn apply_order_steps(&mut self, now: Now, steps: Vec<Step>, out: &mut Vec<Action>) {
         for step in steps {
             match step {
                 Step::Poll(endpoint) => {
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! What a node hears from its peers and tells them.
+//! Messages from peers, and the summaries sent to them.
 
 use std::sync::Arc;
 
@@ -41,15 +41,16 @@
     },
 };
 
-/// Time after which a node that no peer answers counts as alone, so that the first router of a
-/// fleet can start.
-const ALONE_AFTER: Millis = Millis(1500);
+/// Time after the start for which a node waits for the configuration of a peer. It bounds the wait
+/// so that the first router of a fleet can become ready.
+const PEER_SYNC_TIMEOUT: Millis = Millis(1500);
 
-/// Shortest time between two summaries, which bounds what a burst of requests adds to them.
-const EARLY_GAP: Millis = TICK;
+/// Shortest time between two summaries. It bounds the extra summaries that a burst of requests
+/// causes.
+const MIN_SUMMARY_GAP: Millis = TICK;
 
 impl Node {
-    pub(super) fn peer(
+    pub(super) fn handle_peer_message(
         &mut self,
         now: Now,
         from: RouterKey,
@@ -60,13 +61,13 @@
         let Some(peer) = self.peers.get_mut(from) else {
             return;
         };
-        peer.heard = Some(now.mono);
+        peer.last_heard = Some(now.mono);
         self.view.heard(now.mono);
         self.view.peer(now.mono, from, true);
         self.limits.heard(from);
         let config = Arc::clone(self.store.current());
         match message {
-            Message::Summary(summary) => self.summary(now, from, &summary, out),
+            Message::Summary(summary) => self.handle_summary(now, from, &summary, out),
             Message::Pull { since } => {
                 for change in self.store.after(since) {
                     let message = Message::Push(change);
@@ -77,7 +78,7 @@
                 }
             }
             Message::Push(change) => {
-                self.publish(now, &change, out);
+                self.apply_change(now, &change, out);
                 self.synced = true;
             }
             Message::Ask {
@@ -97,7 +98,7 @@
                 let mut outgo = Vec::new();
                 let (granted, retry_after) =
                     self.limits.ask(now.mono, &config, question, &mut outgo);
-                self.limits_out(now, outgo, out);
+                self.apply_limits_output(now, outgo, out);
                 let message = Message::Grant {
                     workspace,
                     granted,
@@ -121,7 +122,7 @@
                 let mut outgo = Vec::new();
                 self.limits
                     .granted(now.mono, key, granted, retry_after, nonce, &mut outgo);
-                self.limits_out(now, outgo, out);
+                self.apply_limits_output(now, outgo, out);
             }
             Message::LeaseAsk {
                 epoch,
@@ -158,15 +159,21 @@
         }
     }
 
-    fn summary(&mut self, now: Now, from: RouterKey, summary: &Summary, out: &mut Vec<Action>) {
+    fn handle_summary(
+        &mut self,
+        now: Now,
+        from: RouterKey,
+        summary: &Summary,
+        out: &mut Vec<Action>,
+    ) {
         if let Some(peer) = self.peers.get_mut(from) {
             peer.revision = summary.revision;
         }
         self.orders.heard(now.mono, from, summary.revision);
-        // What counts is the revision in force: this node may hold a newer one that is invalid,
-        // and have missed the valid one in between that the peer has in force.
+        // Compares with the revision in force, not the newest one held: that one may be invalid,
+        // and this node may have missed a valid one in between that the peer has in force.
         let since = self.config().revision;
-        if summary.revision > since && self.reading.pull(now.mono) {
+        if summary.revision > since && self.config_reads.pull(now.mono) {
             let message = Message::Pull { since };
             out.push(Action::Send {
                 router: from,
@@ -174,20 +181,20 @@
             });
         }
         let config = Arc::clone(self.store.current());
-        let key = |l: &Load| Some((config.endpoints.by_tag(l.endpoint)?, l.in_flight));
-        let loads: Vec<_> = summary.loads.iter().filter_map(key).collect();
+        let by_key = |l: &Load| Some((config.endpoints.by_tag(l.endpoint)?, l.in_flight));
+        let loads: Vec<_> = summary.loads.iter().filter_map(by_key).collect();
         self.loads.peer(now.mono, from, &loads);
-        for one in &summary.leaving {
-            let Some(key) = config.endpoints.by_tag(one.endpoint) else {
+        for leaving in &summary.leaving {
+            let Some(key) = config.endpoints.by_tag(leaving.endpoint) else {
                 continue;
             };
-            let changed = self.view.leaving(now.mono, key, one.incarnation);
+            let changed = self.view.leaving(now.mono, key, leaving.incarnation);
             log_member(key, changed, out);
         }
-        self.reports(now, &config, &summary.reports, out);
+        self.apply_peer_reports(now, &config, &summary.reports, out);
     }
 
-    fn reports(
+    fn apply_peer_reports(
         &mut self,
         now: Now,
         config: &Config,
@@ -195,40 +202,46 @@
         out: &mut Vec<Action>,
     ) {
         let interval = config.policy.summary_interval;
-        for one in reports {
-            let Some(key) = config.endpoints.by_tag(one.endpoint) else {
+        for peer_report in reports {
+            let Some(key) = config.endpoints.by_tag(peer_report.endpoint) else {
                 continue;
             };
             let report = event::Report {
-                incarnation: one.incarnation,
-                age: one.age,
-                in_flight: one.in_flight,
-                queued: one.queued,
+                incarnation: peer_report.incarnation,
+                age: peer_report.age,
+                in_flight: peer_report.in_flight,
+                queued: peer_report.queued,
                 leaving: false,
                 loaded: None,
             };
             self.loads.report(now.mono, key, &report);
-            let life = one.incarnation;
-            let changed = self.view.reported(now.mono, key, life, interval);
+            let incarnation = peer_report.incarnation;
+            let changed = self.view.reported(now.mono, key, incarnation, interval);
             log_member(key, changed, out);
         }
     }
 
-    pub(super) fn peer_failed(&mut self, now: Now, router: RouterKey, out: &mut Vec<Action>) {
+    pub(super) fn handle_peer_failure(
+        &mut self,
+        now: Now,
+        router: RouterKey,
+        out: &mut Vec<Action>,
+    ) {
         self.view.peer(now.mono, router, false);
         let mut outgo = Vec::new();
         let config = Arc::clone(self.store.current());
         self.limits
             .failed(now.mono, &config, self.me, router, &mut outgo);
-        self.limits_out(now, outgo, out);
+        self.apply_limits_output(now, outgo, out);
     }
 
     pub(super) fn tick_peers(&mut self, now: Now, out: &mut Vec<Action>) {
         let config = Arc::clone(self.store.current());
-        // Before the first configuration no peer is known, which doesn't mean that there is none: a
-        // fresh router on a stale service would be ready with what its peers have left behind.
-        let alone = self.peers.is_empty() && config.revision > Revision(0);
-        if alone || now.mono.since(self.started) >= ALONE_AFTER {
+        // Before the first configuration the list of peers is empty even if there are peers. A new
+        // router that reads a stale service would otherwise become ready with a revision that its
+        // peers have already replaced.
+        let has_no_peers = self.peers.is_empty() && config.revision > Revision(0);
+        if has_no_peers || now.mono.since(self.started) >= PEER_SYNC_TIMEOUT {
             self.synced = true;
         }
         let mut lease = Vec::new();
@@ -239,26 +252,26 @@
             out.push(Action::Log(Decision::Lease { epoch, held }));
         }
         let interval = config.policy.summary_interval;
-        if self.early || now.mono.since(self.summarized) >= interval {
-            self.tell_peers(now, out);
+        if self.summary_due || now.mono.since(self.last_summary) >= interval {
+            self.send_summaries(now, out);
         }
     }
 
-    /// Sends every peer a summary before its time, but no sooner than [`EARLY_GAP`] after the last.
-    pub(super) fn tell_soon(&mut self, now: Now, out: &mut Vec<Action>) {
-        if now.mono.since(self.summarized) >= EARLY_GAP {
-            self.tell_peers(now, out);
+    /// Sends every peer a summary before the regular interval ends, but at least
+    /// [`MIN_SUMMARY_GAP`] after the last one.
+    pub(super) fn send_summaries_soon(&mut self, now: Now, out: &mut Vec<Action>) {
+        if now.mono.since(self.last_summary) >= MIN_SUMMARY_GAP {
+            self.send_summaries(now, out);
         } else {
-            self.early = true;
+            self.summary_due = true;
         }
     }
 
-    /// Sends every peer a summary now.
-    fn tell_peers(&mut self, now: Now, out: &mut Vec<Action>) {
+    fn send_summaries(&mut self, now: Now, out: &mut Vec<Action>) {
         let since = self.config().revision;
-        self.summarized = now.mono;
-        self.early = false;
-        let summary = self.make_summary(now);
+        self.last_summary = now.mono;
+        self.summary_due = false;
+        let summary = self.build_summary(now);
         self.loads.shared();
         for router in self.peers.keys() {
             let message = Message::Summary(summary.clone());
@@ -270,8 +283,8 @@
         }
     }
 
-    fn make_summary(&mut self, now: Now) -> Summary {
-        let polled = std::mem::take(&mut self.reports);
+    fn build_summary(&mut self, now: Now) -> Summary {
+        let polled = std::mem::take(&mut self.polled_reports);
         let config = self.store.current();
         let tag = |key| config.endpoints.get(key).map(|e| e.tag);
         let load = |(key, in_flight)| {
@@ -286,12 +299,12 @@
                 incarnation,
             })
         };
-        // Those that leave are told as leaving; a poll from before a pause is no news.
-        let known = config.policy.summary_interval + MAX_REPORT_TRANSIT;
-        let fresh = |key: &_| {
+        // Leaving endpoints are listed separately, and a poll from before a pause is out of date.
+        let max_age = config.policy.summary_interval + MAX_REPORT_TRANSIT;
+        let is_fresh = |key: &_| {
             let last_confirmed = self.view.last_confirmed(*key);
             self.view.state(now.mono, *key) != State::Leaving
-                && last_confirmed.is_some_and(|t| now.mono.since(t) <= known)
+                && last_confirmed.is_some_and(|t| now.mono.since(t) <= max_age)
         };
         let report = |(key, (at, report)): (_, (_, event::Report))| {
             Some(peer::Report {
@@ -302,7 +315,7 @@
                 age: report.age + now.mono.since(at),
             })
         };
-        let polled = polled.into_iter().filter(|(key, _)| fresh(key));
+        let polled = polled.into_iter().filter(|(key, _)| is_fresh(key));
         Summary {
             revision: config.revision,
             epoch: config.epoch,
--- a/crates/core/src/node/retries.rs
+++ b/crates/core/src/node/retries.rs
@@ -1,8 +1,8 @@
-//! Calls that are placed again later, and what refused callers are told.
+//! Calls that are placed again after a delay, and the outcome and retry time of refusals.
 
 use super::{
     Node,
-    Open,
+    OpenCall,
     Stage, //
 };
 use crate::{
@@ -22,46 +22,53 @@
 };
 
 impl Node {
-    /// Places a call again after `wait`.
-    pub(super) fn again(&mut self, now: Now, call: Call, wait: Millis, out: &mut Vec<Action>) {
-        if wait == Millis(0) {
+    /// Places a call again after `backoff`.
+    pub(super) fn schedule_retry(
+        &mut self,
+        now: Now,
+        call: Call,
+        backoff: Millis,
+        out: &mut Vec<Action>,
+    ) {
+        if backoff == Millis(0) {
             return self.dispatch(now, call, out);
         }
         if let Some(open) = self.calls.get_mut(&call) {
-            open.stage = Stage::Later {
-                at: now.mono + wait,
+            open.stage = Stage::Delayed {
+                at: now.mono + backoff,
             };
         }
     }
 
-    /// Places the calls whose time has come.
-    pub(super) fn tick_later(&mut self, now: Now, out: &mut Vec<Action>) {
-        let due = |open: &Open| matches!(open.stage, Stage::Later { at } if now.mono >= at);
-        let calls = self.calls.iter().filter(|(_, open)| due(open));
+    /// Places the delayed calls that are due, and refuses those whose deadline has passed.
+    pub(super) fn dispatch_delayed(&mut self, now: Now, out: &mut Vec<Action>) {
+        let is_due =
+            |open: &OpenCall| matches!(open.stage, Stage::Delayed { at } if now.mono >= at);
+        let calls = self.calls.iter().filter(|(_, open)| is_due(open));
         let calls: Vec<(Call, bool)> = calls
             .map(|(call, open)| (*call, now.mono >= open.request.deadline))
             .collect();
         for (call, late) in calls {
             if late {
                 let refusal = Refusal::not_run(Code::Deadline, None);
-                self.end_refused(now, call, refusal, out);
+                self.refuse_admitted(now, call, refusal, out);
             } else {
                 self.dispatch(now, call, out);
             }
         }
     }
 
-    /// Gets what a caller is told: "not run" only where no attempt may have reached an endpoint,
-    /// and a time to return that differs from others'. What a peer's caller is told, the peer
-    /// spreads.
-    pub(super) fn told(&mut self, open: &Open, refusal: Refusal) -> Refusal {
+    /// Gets the refusal as the caller gets it. Its outcome is "not run" only if no attempt may have
+    /// reached an endpoint, and its retry time has jitter. For a forwarded call the peer adds the
+    /// jitter.
+    pub(super) fn correct_refusal(&mut self, open: &OpenCall, refusal: Refusal) -> Refusal {
         let Refusal {
             code,
             outcome,
             retry_after,
         } = refusal;
         let outcome = match outcome {
-            Outcome::NotRun if open.reached => Outcome::Unknown,
+            Outcome::NotRun if open.may_have_reached => Outcome::Unknown,
             other => other,
         };
         let cause = |least| retry::Cause { code, least };
