--- a/crates/core/src/limits/demand.rs
+++ b/crates/core/src/limits/demand.rs
@@ -1,34 +1,35 @@
-//! How many requests come.
+//! Estimate of the request rate.
 
 use crate::units::{
     Millis,
     Time, //
 };
 
-const SECOND: u64 = 1000;
+const WINDOW_MS: u64 = 1000;
 
-/// `Demand` estimates requests a second, with a memory of about one second.
+/// `Demand` estimates the requests per second from those of about the last second.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Demand {
+    /// Thousandths of requests.
     milli: u64,
-    noted: Time,
+    updated: Time,
 }
 
 impl Demand {
-    /// Notes requests.
+    /// Adds requests to the estimate.
     pub(crate) fn note(&mut self, now: Time, requests: u32) {
         self.milli = self.milli(now) + u64::from(requests) * 1000;
-        self.noted = now;
+        self.updated = now;
     }
 
-    /// Gets the requests that a time of this length brings.
+    /// Gets the expected number of requests in `span`.
     pub(crate) fn within(&self, now: Time, span: Millis) -> u32 {
-        let requests = self.milli(now).saturating_mul(span.0) / SECOND / 1000;
+        let requests = self.milli(now).saturating_mul(span.0) / WINDOW_MS / 1000;
         u32::try_from(requests).unwrap_or(u32::MAX)
     }
 
     fn milli(&self, now: Time) -> u64 {
-        let left = SECOND.saturating_sub(now.since(self.noted).0);
-        self.milli * left / SECOND
+        let weight = WINDOW_MS.saturating_sub(now.since(self.updated).0);
+        self.milli * weight / WINDOW_MS
     }
 }
--- a/crates/core/src/limits/entry.rs
+++ b/crates/core/src/limits/entry.rs
@@ -1,12 +1,13 @@
-//! A router as the entry of calls: it admits from what it was granted, and asks for more.
+//! Admission at the router that a call arrives at: it admits from its grants, and requests more.
 
 use super::{
-    ASK_AGAIN, Ask, GRANT_TTL, Limits, MAX_ASKS, MAX_WAITING, MAX_WAITING_WORKSPACE, MIN_RETRY,
-    Outgo, Role, Scene, Verdict, refuse, row,
-    row::{
+    Ask, GRANT_TTL, Limits, LimitsOutput, MAX_SENDS, MAX_WAITING, MAX_WAITING_PER_WORKSPACE,
+    MIN_RESEND_TIMEOUT, MIN_RETRY_AFTER, Role, Scene, Verdict, refuse,
+    state::{
         Pending,
         Waiting, //
     },
+    state_mut,
 };
 use crate::{
     arena::{
@@ -21,48 +22,54 @@
 };
 
 impl Limits {
-    /// Asks to admit one request.
-    pub fn admit(&mut self, now: Time, config: &Config, ask: Ask, out: &mut Vec<Outgo>) -> Verdict {
+    /// Decides whether to admit one request.
+    pub fn admit(
+        &mut self,
+        now: Time,
+        config: &Config,
+        ask: Ask,
+        out: &mut Vec<LimitsOutput>,
+    ) -> Verdict {
         let Some(scene) = Scene::new(now, config, ask.me, ask.workspace) else {
-            return refuse(ask.me, ask.call, MIN_RETRY);
+            return refuse(ask.me, ask.call, MIN_RETRY_AFTER);
         };
         self.me = ask.me;
         let role = self.role(scene);
-        let Some(row) = row(&mut self.rows, scene) else {
-            return refuse(ask.me, ask.call, MIN_RETRY);
+        let Some(state) = state_mut(&mut self.states, scene) else {
+            return refuse(ask.me, ask.call, MIN_RETRY_AFTER);
         };
-        row.used = now;
-        row.demand.note(now, 1);
+        state.last_request = now;
+        state.demand.note(now, 1);
         let home = match role {
             Role::Home => return self.admit_as_home(scene, ask.call),
             Role::Entry(home) => home,
         };
-        if row.lots.take(now, 1) == 1 {
-            if row.is_low(now) {
-                self.send_ask(scene, home, out);
+        if state.grants.take(now, 1) == 1 {
+            if state.needs_refill(now) {
+                self.send_grant_request(scene, home, out);
             }
             return Verdict::Admit;
         }
-        if now < row.refuse_until {
-            return refuse(ask.me, ask.call, row.refuse_until.since(now));
+        if now < state.refuse_until {
+            return refuse(ask.me, ask.call, state.refuse_until.since(now));
         }
-        let Some(home) = home.filter(|_| !row.is_unanswered(now)) else {
-            return row.static_verdict(scene, self.homes.len(), ask.call);
+        let Some(home) = home.filter(|_| !state.is_unanswered(now)) else {
+            return state.static_verdict(scene, self.homes.len(), ask.call);
         };
-        if self.waiting.len() >= MAX_WAITING || row.waiting.len() >= MAX_WAITING_WORKSPACE {
-            return refuse(ask.me, ask.call, MIN_RETRY);
+        if self.waiting.len() >= MAX_WAITING || state.waiting.len() >= MAX_WAITING_PER_WORKSPACE {
+            return refuse(ask.me, ask.call, MIN_RETRY_AFTER);
         }
-        row.wait(Waiting {
+        state.enqueue(Waiting {
             call: ask.call,
             priority: ask.priority,
             since: now,
         });
         self.waiting.insert(ask.call, ask.workspace);
-        self.send_ask(scene, Some(home), out);
+        self.send_grant_request(scene, Some(home), out);
         Verdict::Wait
     }
 
-    /// Notes a home's grant.
+    /// Handles the answer of a home to a grant request.
     pub fn granted(
         &mut self,
         now: Time,
@@ -70,50 +77,51 @@
         granted: u32,
         retry_after: Millis,
         nonce: u64,
-        out: &mut Vec<Outgo>,
+        out: &mut Vec<LimitsOutput>,
     ) {
-        let Some(row) = self.rows.get_mut(workspace) else {
+        let Some(state) = self.states.get_mut(workspace) else {
             return;
         };
-        // An answer to a question that was given up or answered before brings nothing: its grant
+        // Ignores an answer to a request that was dropped or has been answered before: its grant
         // expires unused.
-        let Some(pending) = row.pending.take_if(|p| p.nonce == nonce) else {
+        let Some(pending) = state.pending.take_if(|p| p.nonce == nonce) else {
             return;
         };
-        self.homes.heard(pending.home);
-        self.homes.answered(pending.home, now.since(pending.sent));
+        self.homes.mark_reachable(pending.home);
+        self.homes
+            .record_round_trip(pending.home, now.since(pending.last_sent));
         if granted == 0 && retry_after == Millis(0) {
-            row.handed = true;
+            state.home_confirmed = true;
             return;
         }
-        row.static_share = None;
-        // A home counts a single request as used at once, so it must not be kept for later.
-        if granted > 1 || !row.waiting.is_empty() || row.relayed > 0 {
-            row.lots.add(granted, pending.at + GRANT_TTL);
+        state.static_share = None;
+        // The home counts a grant of a single request as used at once, so it must not be held.
+        if granted > 1 || !state.waiting.is_empty() || state.relayed > 0 {
+            state.grants.add(granted, pending.first_sent + GRANT_TTL);
         }
-        row.relayed = 0;
+        state.relayed = 0;
         let me = self.me;
-        row.admit_waiting(now, |call| {
+        state.admit_waiting(now, |call| {
             self.waiting.swap_remove(&call);
-            out.push(Outgo::Decided {
+            out.push(LimitsOutput::Decided {
                 call,
                 verdict: Verdict::Admit,
             });
         });
         if granted < pending.want {
-            row.refuse_until = now + retry_after;
-            row.refused = now;
-            row.refuser = Some(pending.home);
-            row.refuse_waiting(now, |call, after| {
+            state.refuse_until = now + retry_after;
+            state.refused_at = now;
+            state.refused_by = Some(pending.home);
+            state.refuse_waiting(now, |call, after| {
                 self.waiting.swap_remove(&call);
                 let verdict = refuse(me, call, after);
-                out.push(Outgo::Decided { call, verdict });
+                out.push(LimitsOutput::Decided { call, verdict });
             });
-        } else if !row.waiting.is_empty() {
+        } else if !state.waiting.is_empty() {
             self.nonce += 1;
-            let want = row.want(now);
-            row.pending = Some(Pending::new(now, pending.home, want, self.nonce));
-            out.push(Outgo::Ask {
+            let want = state.want(now);
+            state.pending = Some(Pending::new(now, pending.home, want, self.nonce));
+            out.push(LimitsOutput::Ask {
                 home: pending.home,
                 workspace,
                 want,
@@ -122,26 +130,27 @@
         }
     }
 
-    pub(super) fn tick_pending(&mut self, now: Time, out: &mut Vec<Outgo>) {
-        for (workspace, row) in &mut self.rows {
-            let Some(pending) = &mut row.pending else {
+    /// Sends unanswered grant requests again, and drops them after [`MAX_SENDS`].
+    pub(super) fn resend_pending(&mut self, now: Time, out: &mut Vec<LimitsOutput>) {
+        for (workspace, state) in &mut self.states {
+            let Some(pending) = &mut state.pending else {
                 continue;
             };
             let home = pending.home;
-            if now.since(pending.sent) < self.homes.patience(home, ASK_AGAIN) {
+            if now.since(pending.last_sent) < self.homes.resend_timeout(home, MIN_RESEND_TIMEOUT) {
                 continue;
             }
-            if pending.asks >= MAX_ASKS {
-                // A home from before a change of the fleet may not know this router yet.
-                if !pending.is_old {
-                    self.homes.failed(now, home);
+            if pending.sends >= MAX_SENDS {
+                // The home under the previous fleet list may not know this router yet.
+                if !pending.to_predecessor {
+                    self.homes.mark_unreachable(now, home);
                 }
-                row.pending = None;
+                state.pending = None;
                 continue;
             }
-            pending.asks += 1;
-            pending.sent = now;
-            out.push(Outgo::Ask {
+            pending.sends += 1;
+            pending.last_sent = now;
+            out.push(LimitsOutput::Ask {
                 home,
                 workspace,
                 want: pending.want,
@@ -150,59 +159,64 @@
         }
     }
 
-    /// Decides what has waited too long by the static share.
-    pub(super) fn tick_waiting(&mut self, scene: Scene, out: &mut Vec<Outgo>) {
-        let Some(row) = self.rows.get_mut(scene.workspace) else {
+    /// Decides the calls that have waited too long, by the static share.
+    pub(super) fn decide_overdue(&mut self, scene: Scene, out: &mut Vec<LimitsOutput>) {
+        let Some(state) = self.states.get_mut(scene.workspace) else {
             return;
         };
-        while let Some(waiting) = row.overdue(scene.now) {
+        while let Some(waiting) = state.overdue(scene.now) {
             let call = waiting.call;
-            let verdict = row.static_verdict(scene, self.homes.len(), call);
+            let verdict = state.static_verdict(scene, self.homes.len(), call);
             self.waiting.swap_remove(&call);
-            out.push(Outgo::Decided { call, verdict });
+            out.push(LimitsOutput::Decided { call, verdict });
         }
     }
 
-    /// Asks for the calls that wait without a question on its way, or decides them where this
+    /// Sends a grant request for waiting calls if none is pending, or decides the calls if this
     /// router has become the home.
-    pub(super) fn ask_for_waiting(&mut self, scene: Scene, out: &mut Vec<Outgo>) {
-        let Some(row) = self.rows.get(scene.workspace) else {
+    pub(super) fn request_for_waiting(&mut self, scene: Scene, out: &mut Vec<LimitsOutput>) {
+        let Some(state) = self.states.get(scene.workspace) else {
             return;
         };
-        if row.pending.is_some() || scene.now < row.refuse_until || !row.is_wanting() {
+        if state.pending.is_some() || scene.now < state.refuse_until || !state.has_unmet_demand() {
             return;
         }
         match self.role(scene) {
-            Role::Entry(home) => self.send_ask(scene, home, out),
+            Role::Entry(home) => self.send_grant_request(scene, home, out),
             Role::Home => {
-                let Some(row) = self.rows.get_mut(scene.workspace) else {
+                let Some(state) = self.states.get_mut(scene.workspace) else {
                     return;
                 };
-                row.relayed = 0;
-                for waiting in std::mem::take(&mut row.waiting) {
+                state.relayed = 0;
+                for waiting in std::mem::take(&mut state.waiting) {
                     let call = waiting.call;
                     self.waiting.swap_remove(&call);
                     let verdict = self.admit_as_home(scene, call);
-                    out.push(Outgo::Decided { call, verdict });
+                    out.push(LimitsOutput::Decided { call, verdict });
                 }
             }
         }
     }
 
-    pub(super) fn send_ask(&mut self, scene: Scene, home: Option<RouterKey>, out: &mut Vec<Outgo>) {
-        let (Some(home), Some(row)) = (home, self.rows.get_mut(scene.workspace)) else {
+    pub(super) fn send_grant_request(
+        &mut self,
+        scene: Scene,
+        home: Option<RouterKey>,
+        out: &mut Vec<LimitsOutput>,
+    ) {
+        let (Some(home), Some(state)) = (home, self.states.get_mut(scene.workspace)) else {
             return;
         };
-        if row.pending.is_some() || scene.now < row.refuse_until {
+        if state.pending.is_some() || scene.now < state.refuse_until {
             return;
         }
         self.nonce += 1;
-        let want = row.want(scene.now);
-        let old = self.homes.predecessor(scene.now, scene.me, scene.tag);
+        let want = state.want(scene.now);
+        let predecessor = self.homes.predecessor(scene.now, scene.me, scene.tag);
         let mut pending = Pending::new(scene.now, home, want, self.nonce);
-        pending.is_old = old == Some(home);
-        row.pending = Some(pending);
-        out.push(Outgo::Ask {
+        pending.to_predecessor = predecessor == Some(home);
+        state.pending = Some(pending);
+        out.push(LimitsOutput::Ask {
             home,
             workspace: scene.workspace,
             want,
--- a/crates/core/src/limits/grant.rs
+++ b/crates/core/src/limits/grant.rs
@@ -1,24 +1,25 @@
-//! A router that is asked: as the home it grants from its bucket, else it passes on what it has.
+//! Answers to the grant requests of peers: the home grants from its bucket, another router relays
+//! from its own grants.
 
 use super::{
-    CAUTION,
-    HOME_CAUTION,
+    GrantRequest,
+    HOME_HALF_RATE_PERIOD,
+    HOME_PROBE_INTERVAL,
     Limits,
-    MAX_RETRY,
-    MIN_RETRY,
-    Outgo,
-    PROBE,
-    Question,
-    RELAY_RETRY,
+    LimitsOutput,
+    MAX_RETRY_AFTER,
+    MIN_RETRY_AFTER,
+    RELAY_RETRY_AFTER,
     Role,
+    SUBSTITUTE_HALF_RATE_PERIOD,
     Scene,
     Verdict,
     bucket::{
         Bucket,
-        Take, //
+        Withdrawal, //
     },
     refuse,
-    row, //
+    state_mut, //
 };
 use crate::{
     arena::RouterKey,
@@ -31,59 +32,59 @@
 };
 
 impl Limits {
-    /// Answers a router's question as the workspace's home: requests granted and the time until
-    /// more can be had. Nothing granted and no time says that the asker is the home itself.
+    /// Answers a peer's grant request: the number of requests granted, and the time until more are
+    /// available. Zero for both means that the peer itself is the home.
     pub fn ask(
         &mut self,
         now: Time,
         config: &Config,
-        question: Question,
-        out: &mut Vec<Outgo>,
+        request: GrantRequest,
+        out: &mut Vec<LimitsOutput>,
     ) -> (u32, Millis) {
-        let Question {
+        let GrantRequest {
             me,
             from,
             workspace,
             want,
-        } = question;
+        } = request;
         let Some(scene) = Scene::new(now, config, me, workspace) else {
-            return (0, MAX_RETRY);
+            return (0, MAX_RETRY_AFTER);
         };
-        self.homes.heard(from);
-        // A witness that asks says by that that this router is the home.
+        self.homes.mark_reachable(from);
+        // A witness that sends a grant request confirms by it that this router is the home.
         let mut role = self.role(scene);
-        if role == Role::Entry(Some(from)) && self.homes.first(now, me, scene.tag) == me {
-            if let Some(row) = row(&mut self.rows, scene) {
-                row.handed = true;
+        if role == Role::Entry(Some(from)) && self.homes.current_home(now, me, scene.tag) == me {
+            if let Some(state) = state_mut(&mut self.states, scene) {
+                state.home_confirmed = true;
             }
             role = Role::Home;
         }
         match role {
-            Role::Home if want == 0 => (0, MIN_RETRY),
+            Role::Home if want == 0 => (0, MIN_RETRY_AFTER),
             Role::Home => self.take(scene, Some(from), want),
             Role::Entry(Some(home)) if home == from => (0, Millis(0)),
             Role::Entry(home) => self.relay(scene, home, want, out),
         }
     }
 
-    /// Finds this router's part. A router that is not the home holds no bucket, so that a later
-    /// take-over starts afresh.
+    /// Determines this router's role. Removes the bucket if this router is not the home, so that it
+    /// starts with a new one if it becomes the home later.
     pub(super) fn role(&mut self, scene: Scene) -> Role {
         let Scene { now, me, tag, .. } = scene;
         if self.homes.len() == 0 {
             return Role::Home;
         }
-        let first = self.homes.first(now, me, tag);
-        let row = self.rows.get_mut(scene.workspace);
-        let Some(me) = me.filter(|_| first == me) else {
-            if let Some(row) = row {
-                row.bucket = None;
-                row.handed = false;
+        let current = self.homes.current_home(now, me, tag);
+        let state = self.states.get_mut(scene.workspace);
+        let Some(me) = me.filter(|_| current == me) else {
+            if let Some(state) = state {
+                state.bucket = None;
+                state.home_confirmed = false;
             }
-            let old = self.homes.predecessor(now, scene.me, tag);
-            return Role::Entry(old.or(first));
+            let predecessor = self.homes.predecessor(now, scene.me, tag);
+            return Role::Entry(predecessor.or(current));
         };
-        if row.is_some_and(|row| row.handed || row.bucket.is_some()) {
+        if state.is_some_and(|state| state.home_confirmed || state.bucket.is_some()) {
             return Role::Home;
         }
         match self.homes.witness(now, me, tag) {
@@ -105,76 +106,77 @@
         from: Option<RouterKey>,
         want: u32,
     ) -> (u32, Millis) {
-        // The first in the published order fills from the time it became that; a substitute, and
-        // one that draws on a predecessor first, from now.
-        let published = scene.me.is_none() || self.homes.published(scene.tag) == scene.me;
-        let fill = self.homes.fill(scene.now);
-        let moved = self.homes.moved();
-        let Some(row) = row(&mut self.rows, scene) else {
-            return (0, MAX_RETRY);
+        // The published home's bucket fills from the change of the fleet list on; the bucket of a
+        // substitute, or of a home that a witness has confirmed, from now on.
+        let is_published = scene.me.is_none() || self.homes.published_home(scene.tag) == scene.me;
+        let fill = self.homes.fill_share(scene.now);
+        let fleet_changed = self.homes.fleet_changed();
+        let Some(state) = state_mut(&mut self.states, scene) else {
+            return (0, MAX_RETRY_AFTER);
         };
-        let (born, caution) = match (published, row.handed) {
-            (true, false) => (moved, HOME_CAUTION),
-            // The one before has said that it is home no more.
+        let (created, half_rate_period) = match (is_published, state.home_confirmed) {
+            (true, false) => (fleet_changed, HOME_HALF_RATE_PERIOD),
+            // The predecessor has confirmed that it is no longer the home.
             (true, true) => (scene.now, Millis(0)),
-            (false, _) => (scene.now, CAUTION),
+            (false, _) => (scene.now, SUBSTITUTE_HALF_RATE_PERIOD),
         };
-        let bucket = row.bucket.get_or_insert_with(|| match self.homes.len() {
-            // Nobody else can hold a bucket.
-            0 | 1 => Bucket::full(born, scene.limit),
-            _ => Bucket::new(born, caution, scene.limit),
+        let bucket = state.bucket.get_or_insert_with(|| match self.homes.len() {
+            // No other router can hold a bucket.
+            0 | 1 => Bucket::full(created, scene.limit),
+            _ => Bucket::new(created, half_rate_period, scene.limit),
         });
-        let take = Take {
+        let withdrawal = Withdrawal {
             limit: scene.limit,
             fill,
             want,
             from,
         };
-        bucket.take(scene.now, take)
+        bucket.take(scene.now, withdrawal)
     }
 
-    /// Passes on what this router itself was granted.
+    /// Grants from this router's own grants, and requests the rest from the home.
     pub(super) fn relay(
         &mut self,
         scene: Scene,
         home: Option<RouterKey>,
         want: u32,
-        out: &mut Vec<Outgo>,
+        out: &mut Vec<LimitsOutput>,
     ) -> (u32, Millis) {
-        let Some(row) = row(&mut self.rows, scene) else {
-            return (0, MAX_RETRY);
+        let Some(state) = state_mut(&mut self.states, scene) else {
+            return (0, MAX_RETRY_AFTER);
         };
-        row.used = scene.now;
-        row.demand.note(scene.now, want);
-        let granted = row.lots.take(scene.now, want);
+        state.last_request = scene.now;
+        state.demand.note(scene.now, want);
+        let granted = state.grants.take(scene.now, want);
         if granted == want {
             return (granted, Millis(0));
         }
-        // Whoever asks here finds the home unreachable: hear soon whether it is.
-        row.refuse_until = row.refuse_until.min(row.refused + MIN_RETRY);
-        if scene.now < row.refuse_until {
-            return (granted, row.refuse_until.since(scene.now));
+        // The peer asks here because it can't reach the home, so this router checks soon whether it
+        // can itself.
+        state.refuse_until = state.refuse_until.min(state.refused_at + MIN_RETRY_AFTER);
+        if scene.now < state.refuse_until {
+            return (granted, state.refuse_until.since(scene.now));
         }
-        row.relayed = row.relayed.saturating_add(want - granted);
-        self.send_ask(scene, home, out);
-        (granted, RELAY_RETRY)
+        state.relayed = state.relayed.saturating_add(want - granted);
+        self.send_grant_request(scene, home, out);
+        (granted, RELAY_RETRY_AFTER)
     }
 
-    /// Asks the published home for a sign of life while this router stands in for it. A home that
-    /// is back may speak to few routers; two buckets would fill until it speaks to this one.
-    pub(super) fn tick_probe(&mut self, scene: Scene, out: &mut Vec<Outgo>) {
-        let Some(row) = self.rows.get_mut(scene.workspace) else {
+    /// Probes the published home while this router substitutes for it. A home that is back may
+    /// contact few routers at first, and two buckets would fill until it contacted this one.
+    pub(super) fn probe_home(&mut self, scene: Scene, out: &mut Vec<LimitsOutput>) {
+        let Some(state) = self.states.get_mut(scene.workspace) else {
             return;
         };
-        if row.bucket.is_none() || scene.now.since(row.probed) < PROBE {
+        if state.bucket.is_none() || scene.now.since(state.last_probe) < HOME_PROBE_INTERVAL {
             return;
         }
-        row.probed = scene.now;
-        let published = self.homes.published(scene.tag);
+        state.last_probe = scene.now;
+        let published = self.homes.published_home(scene.tag);
         let Some(home) = published.filter(|_| published != scene.me) else {
             return;
         };
-        out.push(Outgo::Ask {
+        out.push(LimitsOutput::Ask {
             home,
             workspace: scene.workspace,
             want: 0,
--- a/crates/core/src/limits/share.rs
+++ b/crates/core/src/limits/share.rs
@@ -1,88 +1,91 @@
-//! What one router holds of a workspace's limit: its grants, and the static share it falls back to.
+//! The part of a workspace's limit that one router holds: its grants, and the static share that it
+//! uses while no home answers.
 
 use crate::{
     config::Limit,
     units::Time, //
 };
 
-/// Most grants held at once for one workspace; at the bound the oldest is given up.
-pub const MAX_LOTS: usize = 4;
+/// Largest number of grants held at once for one workspace; a further grant replaces the oldest.
+pub const MAX_HELD_GRANTS: usize = 4;
 
-const REQUEST: u64 = 1_000_000;
-const SECOND: u64 = 1000;
+const MICRO_PER_REQUEST: u64 = 1_000_000;
+const MS_PER_SECOND: u64 = 1000;
 
 #[derive(Clone, Copy, Debug)]
-struct Lot {
+struct HeldGrant {
     requests: u32,
     expires: Time,
 }
 
-/// `Lots` are the grants that this router has not used up.
+/// `HeldGrants` are the grants of which this router has requests left.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Lots {
-    lots: Vec<Lot>,
+pub(super) struct HeldGrants {
+    grants: Vec<HeldGrant>,
 }
 
-impl Lots {
+impl HeldGrants {
     /// Adds a grant.
     pub(super) fn add(&mut self, requests: u32, expires: Time) {
         if requests == 0 {
             return;
         }
-        if self.lots.len() == MAX_LOTS {
-            self.lots.remove(0);
+        if self.grants.len() == MAX_HELD_GRANTS {
+            self.grants.remove(0);
         }
-        self.lots.push(Lot { requests, expires });
+        self.grants.push(HeldGrant { requests, expires });
     }
 
     /// Takes up to `want` requests, oldest grant first.
     pub(super) fn take(&mut self, now: Time, want: u32) -> u32 {
         let mut taken = 0;
-        for lot in &mut self.lots {
-            if now < lot.expires {
-                let part = lot.requests.min(want - taken);
-                lot.requests -= part;
+        for grant in &mut self.grants {
+            if now < grant.expires {
+                let part = grant.requests.min(want - taken);
+                grant.requests -= part;
                 taken += part;
             }
         }
-        self.lots.retain(|l| l.requests > 0 && now < l.expires);
+        self.grants.retain(|g| g.requests > 0 && now < g.expires);
         taken
     }
 
-    /// Gets the requests that are left.
+    /// Gets the number of requests left in grants that have not expired.
     pub(super) fn left(&self, now: Time) -> u32 {
-        let live = self.lots.iter().filter(|l| now < l.expires);
-        live.map(|l| l.requests).sum()
+        let valid = self.grants.iter().filter(|g| now < g.expires);
+        valid.map(|g| g.requests).sum()
     }
 }
 
-/// `Static` is the share of a router that no home answers: the limit divided by the fleet's size,
-/// from an empty start.
+/// `StaticShare` is the token bucket of a router while no home answers: it starts empty, and its
+/// rate is the limit divided by the number of routers.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Static {
+pub(super) struct StaticShare {
+    /// The tokens, in millionths of a request.
     micro: u64,
-    filled: Time,
+    last_fill: Time,
 }
 
-impl Static {
-    /// Starts at `now`, empty.
+impl StaticShare {
+    /// Makes an empty bucket that fills from `now` on.
     pub(super) fn new(now: Time) -> Self {
         Self {
             micro: 0,
-            filled: now,
+            last_fill: now,
         }
     }
 
     /// Takes one request if the share allows it.
     pub(super) fn take(&mut self, now: Time, limit: Limit, routers: usize) -> bool {
-        let per_milli = u64::from(limit.requests_per_s) * 1000;
-        let added = per_milli.saturating_mul(now.since(self.filled).0) / routers.max(1) as u64;
-        let second = per_milli * SECOND / routers.max(1) as u64;
-        self.filled = now;
-        self.micro = (self.micro + added).min(second.max(REQUEST));
-        let enough = self.micro >= REQUEST;
+        let micro_per_ms = u64::from(limit.requests_per_s) * 1000;
+        let added =
+            micro_per_ms.saturating_mul(now.since(self.last_fill).0) / routers.max(1) as u64;
+        let capacity = micro_per_ms * MS_PER_SECOND / routers.max(1) as u64;
+        self.last_fill = now;
+        self.micro = (self.micro + added).min(capacity.max(MICRO_PER_REQUEST));
+        let enough = self.micro >= MICRO_PER_REQUEST;
         if enough {
-            self.micro -= REQUEST;
+            self.micro -= MICRO_PER_REQUEST;
         }
         enough
     }
--- a/crates/core/src/node/calls.rs
+++ b/crates/core/src/node/calls.rs
@@ -17,7 +17,7 @@
     config::Config,
     limits::{
         Ask,
-        Outgo,
+        LimitsOutput,
         Verdict, //
     },
     once::KeyDecision,
@@ -83,35 +83,37 @@
             return self.handle_admitted(now, call, out);
         }
         let config = Arc::clone(self.store.current());
-        let mut outgo = Vec::new();
+        let mut outputs = Vec::new();
         let ask = Ask {
             me: self.me,
             call,
             workspace,
             priority,
         };
-        let verdict = self.limits.admit(now.mono, &config, ask, &mut outgo);
+        let verdict = self.limits.admit(now.mono, &config, ask, &mut outputs);
         self.apply_verdict(now, call, verdict, out);
-        self.apply_limits_output(now, outgo, out);
+        self.apply_limits_output(now, outputs, out);
     }
 
     pub(super) fn tick_limits(&mut self, now: Now, out: &mut Vec<Action>) {
         let config = Arc::clone(self.store.current());
-        let mut outgo = Vec::new();
-        self.limits.tick(now.mono, &config, self.me, &mut outgo);
-        self.apply_limits_output(now, outgo, out);
+        let mut outputs = Vec::new();
+        self.limits.tick(now.mono, &config, self.me, &mut outputs);
+        self.apply_limits_output(now, outputs, out);
     }
 
     pub(super) fn apply_limits_output(
         &mut self,
         now: Now,
-        outgo: Vec<Outgo>,
+        outputs: Vec<LimitsOutput>,
         out: &mut Vec<Action>,
     ) {
-        for output in outgo {
+        for output in outputs {
             match output {
-                Outgo::Decided { call, verdict } => self.apply_verdict(now, call, verdict, out),
-                Outgo::Ask {
+                LimitsOutput::Decided { call, verdict } => {
+                    self.apply_verdict(now, call, verdict, out)
+                }
+                LimitsOutput::Ask {
                     home,
                     workspace,
                     want,
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -17,7 +17,7 @@
         self,
         TICK, //
     },
-    limits::Question,
+    limits::GrantRequest,
     membership::{
         State,
         pollers::MAX_REPORT_TRANSIT, //
@@ -89,16 +89,16 @@
                 let Some(key) = config.workspaces.by_tag(workspace) else {
                     return;
                 };
-                let question = Question {
+                let request = GrantRequest {
                     me: self.me,
                     from,
                     workspace: key,
                     want,
                 };
-                let mut outgo = Vec::new();
+                let mut outputs = Vec::new();
                 let (granted, retry_after) =
-                    self.limits.ask(now.mono, &config, question, &mut outgo);
-                self.apply_limits_output(now, outgo, out);
+                    self.limits.ask(now.mono, &config, request, &mut outputs);
+                self.apply_limits_output(now, outputs, out);
                 let message = Message::Grant {
                     workspace,
                     granted,
@@ -119,10 +119,10 @@
                 let Some(key) = config.workspaces.by_tag(workspace) else {
                     return;
                 };
-                let mut outgo = Vec::new();
+                let mut outputs = Vec::new();
                 self.limits
-                    .granted(now.mono, key, granted, retry_after, nonce, &mut outgo);
-                self.apply_limits_output(now, outgo, out);
+                    .granted(now.mono, key, granted, retry_after, nonce, &mut outputs);
+                self.apply_limits_output(now, outputs, out);
             }
             Message::LeaseAsk {
                 epoch,
@@ -228,11 +228,11 @@
         out: &mut Vec<Action>,
     ) {
         self.view.peer(now.mono, router, false);
-        let mut outgo = Vec::new();
+        let mut outputs = Vec::new();
         let config = Arc::clone(self.store.current());
         self.limits
-            .failed(now.mono, &config, self.me, router, &mut outgo);
-        self.apply_limits_output(now, outgo, out);
+            .failed(now.mono, &config, self.me, router, &mut outputs);
+        self.apply_limits_output(now, outputs, out);
     }
 
     pub(super) fn tick_peers(&mut self, now: Now, out: &mut Vec<Action>) {
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -12,8 +12,8 @@
 use toucanturn_core::{
     limits::{
         MAX_WAIT,
-        MAX_WAITING_WORKSPACE,
-        SPREAD, //
+        MAX_WAITING_PER_WORKSPACE,
+        RETRY_JITTER, //
     },
     units::{
         Millis,
@@ -356,7 +356,7 @@
     fleet.run(Millis(500), workspace, &one(7, 1, 2000.0));
     let mut slots = [0_usize; 10];
     for (_, after) in &fleet.refused {
-        let slot = after.0 * 10 / (SPREAD.0 + 1000);
+        let slot = after.0 * 10 / (RETRY_JITTER.0 + 1000);
         slots[usize::try_from(slot).unwrap().min(9)] += 1;
     }
     let busiest = slots.iter().max().copied().unwrap_or_default();
@@ -378,8 +378,8 @@
         fleet.call(entry, workspace);
     }
     let waiting = fleet.routers[entry].limits.waiting();
-    expect_that!(waiting, eq(MAX_WAITING_WORKSPACE));
-    expect_that!(fleet.refused.len(), eq(20_000 - MAX_WAITING_WORKSPACE));
+    expect_that!(waiting, eq(MAX_WAITING_PER_WORKSPACE));
+    expect_that!(fleet.refused.len(), eq(20_000 - MAX_WAITING_PER_WORKSPACE));
     fleet.run(Millis(1000), workspace, &[]);
     let before = fleet.routers[entry].sent;
     fleet.run(Millis(5000), workspace, &one(7, entry, 20_000.0));
--- a/crates/core/tests/limits_fleet/mod.rs
+++ b/crates/core/tests/limits_fleet/mod.rs
@@ -31,9 +31,9 @@
     ids::Id,
     limits::{
         Ask,
+        GrantRequest,
         Limits,
-        Outgo,
-        Question,
+        LimitsOutput,
         Verdict, //
     },
     peer::{
@@ -431,7 +431,7 @@
                 want,
                 nonce,
             } => {
-                let question = Question {
+                let question = GrantRequest {
                     me,
                     from: from_key,
                     workspace,
@@ -460,11 +460,11 @@
         self.carry_out(to, out);
     }
 
-    fn carry_out(&mut self, index: usize, out: Vec<Outgo>) {
+    fn carry_out(&mut self, index: usize, out: Vec<LimitsOutput>) {
         for one in out {
             match one {
-                Outgo::Decided { call, verdict } => self.decided(call, verdict),
-                Outgo::Ask {
+                LimitsOutput::Decided { call, verdict } => self.decided(call, verdict),
+                LimitsOutput::Ask {
                     home,
                     workspace,
                     want,
