--- a/crates/core/examples/bench_place.rs
+++ b/crates/core/examples/bench_place.rs
@@ -18,7 +18,7 @@
         Config,
         store::Store, //
     },
-    load::Table,
+    load::LoadTable,
     membership::{
         Observation,
         SelfReport, //
@@ -29,7 +29,7 @@
         Entry, //
     },
     place::{
-        Scene,
+        PlacementContext,
         choose, //
     },
     request::{
@@ -51,7 +51,7 @@
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     for count in [16, 780, 3900] {
         let config = config(count)?;
-        let (view, mut loads) = (View::default(), Table::default());
+        let (view, mut loads) = (View::default(), LoadTable::default());
         let (view, keys) = fill(view, &mut loads, &config);
         for with_token in [true, false] {
             measure(&config, &view, &mut loads, &keys, with_token);
@@ -92,7 +92,7 @@
     Ok(std::sync::Arc::clone(store.current()))
 }
 
-fn fill(mut view: View, loads: &mut Table, config: &Config) -> (View, Vec<EndpointKey>) {
+fn fill(mut view: View, loads: &mut LoadTable, config: &Config) -> (View, Vec<EndpointKey>) {
     view.apply(NOW, config);
     loads.apply(config, None);
     let keys: Vec<EndpointKey> = config.endpoints.iter().map(|(key, _)| key).collect();
@@ -109,7 +109,7 @@
             loads.sent(NOW, *key);
         }
     }
-    loads.shared();
+    loads.mark_announced();
     loads.refresh(NOW, &view);
     (view, keys)
 }
@@ -117,7 +117,7 @@
 fn measure(
     config: &Config,
     view: &View,
-    loads: &mut Table,
+    loads: &mut LoadTable,
     keys: &[EndpointKey],
     with_token: bool,
 ) {
@@ -137,7 +137,7 @@
             prefix: Prefix(rng.random()),
             token,
         };
-        let scene = Scene {
+        let scene = PlacementContext {
             config,
             view,
             loads,
@@ -149,7 +149,7 @@
             loads.sent(NOW, placed.endpoint);
             nanos.push(start.elapsed().as_nanos());
             loads.ended(NOW, placed.endpoint);
-            loads.shared();
+            loads.mark_announced();
         }
     }
     nanos.sort_unstable();
@@ -168,7 +168,7 @@
     );
 }
 
-fn refresh(view: &View, loads: &mut Table, count: usize) {
+fn refresh(view: &View, loads: &mut LoadTable, count: usize) {
     let rounds = 200;
     let start = Instant::now();
     for _ in 0..rounds {
--- a/crates/core/src/load/entry.rs
+++ b/crates/core/src/load/entry.rs
@@ -1,76 +1,78 @@
-//! What is known of one endpoint's load.
+//! The load of one endpoint, from routers' requests and the endpoint's reports.
 
 use crate::units::{
     Millis,
     Time, //
 };
 
-/// Slots of the memory of past loads.
-const SLOTS: usize = 10;
-/// Time that one slot stands for; together they reach back further than a report's lag.
-const SLOT: Millis = Millis(200);
+/// Slots of the history of known loads.
+const HISTORY_SLOTS: usize = 10;
+/// Time that one history slot covers; together the slots reach back further than a report's lag.
+const HISTORY_SLOT_LENGTH: Millis = Millis(200);
 
-/// Requests by which a report may differ from what routers say of themselves at the same time.
-const BLUR: u32 = 2;
+/// Requests by which a report may differ from the sum of the routers' requests at the same time.
+const REPORT_TOLERANCE: u32 = 2;
 
 /// `Entry` is the load of one endpoint.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Entry {
     /// Own requests in progress.
     pub(super) own: u32,
-    /// Peers' requests in progress, by their last summaries.
+    /// Peers' requests in progress, from their last summaries.
     pub(super) peers: u32,
     /// Own requests sent since the last summary.
-    pub(super) unshared: u32,
-    /// Pools by index, and the place in each.
-    pub(super) places: Vec<(usize, usize)>,
-    // Requests of routers that are not heard, and the time of the report that told.
-    unheard: Option<(Time, u32)>,
-    past: [(Time, u32); SLOTS],
-    last: usize,
+    pub(super) unannounced: u32,
+    /// Index of each pool that has the endpoint, and the endpoint's position there.
+    pub(super) pool_positions: Vec<(usize, usize)>,
+    // Time of the last report, and its requests beyond the known load.
+    surplus: Option<(Time, u32)>,
+    // A ring of known loads; the newest is at `newest`.
+    history: [(Time, u32); HISTORY_SLOTS],
+    newest: usize,
 }
 
 impl Entry {
-    /// Gets the load. While every router is heard (`whole`), a report's surplus is mostly the time
-    /// between a request and its summary, and counts only above [`BLUR`].
-    pub(super) fn load(&self, whole: bool) -> u32 {
-        let surplus = self.unheard.map_or(0, |(_, n)| n);
-        let blur = if whole { BLUR } else { 0 };
-        self.known().saturating_add(surplus.saturating_sub(blur))
+    /// Gets the load. While every peer is heard, a report's surplus is mostly requests that are not
+    /// in a summary yet, so it counts only above [`REPORT_TOLERANCE`].
+    pub(super) fn load(&self, all_peers_heard: bool) -> u32 {
+        let surplus = self.surplus.map_or(0, |(_, n)| n);
+        let tolerance = if all_peers_heard { REPORT_TOLERANCE } else { 0 };
+        self.known()
+            .saturating_add(surplus.saturating_sub(tolerance))
     }
 
-    /// Notes the load that is known now.
-    pub(super) fn remember(&mut self, now: Time) {
-        let slot = |t: Time| t.0 / SLOT.0;
-        if slot(self.past[self.last].0) != slot(now) {
-            self.last = (self.last + 1) % SLOTS;
+    /// Records the load that is known now in the history.
+    pub(super) fn record_known(&mut self, now: Time) {
+        let slot = |t: Time| t.0 / HISTORY_SLOT_LENGTH.0;
+        if slot(self.history[self.newest].0) != slot(now) {
+            self.newest = (self.newest + 1) % HISTORY_SLOTS;
         }
-        self.past[self.last] = (now, self.known());
+        self.history[self.newest] = (now, self.known());
     }
 
-    /// Notes a report that speaks of the time `at`.
-    pub(super) fn report(&mut self, at: Time, in_flight: u32) {
-        if self.unheard.is_some_and(|(newer, _)| newer > at) {
+    /// Records a report whose figures are of the time `at`.
+    pub(super) fn record_report(&mut self, at: Time, in_flight: u32) {
+        if self.surplus.is_some_and(|(newer, _)| newer > at) {
             return;
         }
         let surplus = in_flight.saturating_sub(self.known_at(at));
-        self.unheard = Some((at, surplus));
+        self.surplus = Some((at, surplus));
     }
 
-    /// Lets a report go that is older than `age`.
-    pub(super) fn expire(&mut self, now: Time, age: Millis) {
-        self.unheard = self.unheard.filter(|(at, _)| now.since(*at) <= age);
+    /// Discards a report that is older than `ttl`.
+    pub(super) fn expire(&mut self, now: Time, ttl: Millis) {
+        self.surplus = self.surplus.filter(|(at, _)| now.since(*at) <= ttl);
     }
 
-    /// Gets the requests of this router and the peers that it hears.
+    /// Gets the requests of this router and of the peers whose summaries are current.
     pub(super) fn known(&self) -> u32 {
         self.own.saturating_add(self.peers)
     }
 
-    /// Gets the load that was known at a time, or the oldest that is remembered.
+    /// Gets the load that was known at a time, or the oldest in the history.
     fn known_at(&self, at: Time) -> u32 {
-        let before = self.past.iter().filter(|(t, _)| *t <= at);
-        let oldest = || self.past.iter().min_by_key(|(t, _)| *t);
+        let before = self.history.iter().filter(|(t, _)| *t <= at);
+        let oldest = || self.history.iter().min_by_key(|(t, _)| *t);
         let found = before.max_by_key(|(t, _)| *t).or_else(oldest);
         found.map_or(0, |(_, n)| *n)
     }
--- a/crates/core/src/load/mod.rs
+++ b/crates/core/src/load/mod.rs
@@ -1,13 +1,14 @@
-//! How much work each endpoint has, put together from own requests, peers' summaries and
-//! endpoints' reports, each with its age.
+//! Estimates the load of each endpoint from this router's own requests, peers' summaries and the
+//! endpoints' load reports.
 //!
-//! Own requests are exact, peers' summaries are one interval old, reports a second. While every
-//! router of the fleet is heard, the load is what they say of themselves and reports add nothing.
-//! While some are not, a report's surplus over what was known *at the time it speaks of* stands
-//! for them, so that requests sent since the report are not lost and not counted twice.
+//! Own requests are exact, peers' summaries are up to one interval old, and reports up to a second.
+//! While every other router of the own region is heard, the load is the sum of the routers'
+//! requests, and a report adds only a surplus above a small tolerance. While some routers are not
+//! heard, the surplus of a report over the load known *at the time of the report* stands for their
+//! requests. Comparing at that time neither loses nor double-counts requests sent since.
 //!
-//! The table also keeps the [`Pool`] of each model and service as flat arrays, brought up to date
-//! by every event, so that a placement neither sorts nor allocates.
+//! The table also keeps the [`Pool`] of each model and service as flat arrays, updated by every
+//! event, so that a placement neither sorts nor allocates.
 
 use indexmap::IndexMap;
 use slotmap::SecondaryMap;
@@ -40,42 +41,43 @@
 
 use entry::Entry;
 pub use pool::{
-    CLOSED,
+    LoadTotals,
+    NO_ROOM,
     Pool,
-    Spot,
-    Sum,
+    PoolMember,
     Usable,
     item_seed,
     score, //
 };
 
-/// Age at which a peer's summary says nothing any more: five summaries missed.
-const PEER_STALE: Millis = Millis(1000);
-/// Age at which an endpoint's report says nothing any more.
-const REPORT_STALE: Millis = Millis::from_secs(10);
+/// Age above which a peer's summary is discarded: five missed summaries.
+const PEER_SUMMARY_TTL: Millis = Millis(1000);
+/// Age above which an endpoint's report is discarded.
+const REPORT_TTL: Millis = Millis::from_secs(10);
 
-/// Room below the limit at which a router tells its peers of each request at once.
-const CLOSE: u32 = 3;
-/// Requests that a router sends to one endpoint before it tells its peers, elsewhere.
-const UNTOLD: u32 = 2;
+/// Free room below the limit, in requests, at or under which a router announces each request to
+/// its peers at once.
+const NEAR_LIMIT_ROOM: u32 = 3;
+/// Requests that a router may send to an endpoint with more room before it announces them.
+const MAX_UNANNOUNCED: u32 = 2;
 
-/// Gets the requests that a router may send to an endpoint before it has told its peers, `told`
-/// the load without them.
+/// Gets the number of requests that a router may send to an endpoint before it announces them to
+/// its peers. `announced` is the load without them.
 ///
-/// Routers that see the same room would all fill it between two summaries, and the endpoint would
-/// carry that many times its limit. This bounds what peers can't know: at most [`UNTOLD`] requests
-/// of each router.
-pub const fn quota(told: u32, limit: u32) -> u32 {
-    if limit.saturating_sub(told) <= CLOSE {
+/// Routers that see the same free room would all fill it between two summaries, and the endpoint
+/// would carry a multiple of its limit. This bounds the load that peers don't know of to
+/// [`MAX_UNANNOUNCED`] requests of each router.
+pub const fn max_unannounced(announced: u32, limit: u32) -> u32 {
+    if limit.saturating_sub(announced) <= NEAR_LIMIT_ROOM {
         1
     } else {
-        UNTOLD
+        MAX_UNANNOUNCED
     }
 }
 
-/// `Group` names a pool: the endpoints that can stand for each other.
+/// `PoolKey` identifies a pool of interchangeable endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Group {
+pub enum PoolKey {
     /// Engines that serve a model.
     Model(ModelKey),
     /// Replicas of a plain service.
@@ -84,92 +86,96 @@
 
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    heard: Option<Time>,
-    // Whether it is in the own region: others seldom send to the same endpoints.
-    near: bool,
+    last_summary: Option<Time>,
+    // Routers of other regions seldom send to the same endpoints.
+    in_own_region: bool,
     loads: Vec<(EndpointKey, u32)>,
 }
 
-/// `Table` is the load of every endpoint.
+/// `LoadTable` holds the load of every endpoint.
 #[derive(Debug, Default)]
-pub struct Table {
+pub struct LoadTable {
     entries: SecondaryMap<EndpointKey, Entry>,
     peers: SecondaryMap<RouterKey, Peer>,
-    pools: IndexMap<Group, Pool>,
+    pools: IndexMap<PoolKey, Pool>,
     me: Option<RouterKey>,
-    // Whether every other router of the own region is heard.
-    whole: bool,
+    // Whether a current summary is held of every other router of the own region.
+    all_peers_heard: bool,
 }
 
-impl Table {
-    /// Follows a new configuration; `me` is this router, `None` while it is not in the fleet list.
+impl LoadTable {
+    /// Applies a new configuration; `me` is this router, `None` while it is not in the fleet list.
     pub fn apply(&mut self, config: &Config, me: Option<RouterKey>) {
         self.me = me;
         self.entries
             .retain(|key, _| config.endpoints.get(key).is_some());
         let router = me.and_then(|me| config.fleet.get(me));
         let region = router.and_then(|r| region(config, &r.data_center));
-        let near =
+        let in_own_region =
             |e: &Endpoint| region.is_none() || region == self::region(config, &e.data_center);
-        let mut pools: IndexMap<Group, Vec<Spot>> = IndexMap::new();
+        let mut pools: IndexMap<PoolKey, Vec<PoolMember>> = IndexMap::new();
         for (key, endpoint) in config.endpoints.iter() {
-            let spot = Spot {
+            let member = PoolMember {
                 key,
                 tag: endpoint.tag,
                 capacity: endpoint.capacity,
-                near: near(endpoint),
+                in_own_region: in_own_region(endpoint),
             };
-            let models = endpoint.models.iter().map(|m| Group::Model(*m));
-            let service = endpoint.service.iter().map(|s| Group::Service(*s));
-            for group in models.chain(service) {
-                pools.entry(group).or_default().push(spot);
+            let models = endpoint.models.iter().map(|m| PoolKey::Model(*m));
+            let service = endpoint.service.iter().map(|s| PoolKey::Service(*s));
+            for pool in models.chain(service) {
+                pools.entry(pool).or_default().push(member);
             }
             if !self.entries.contains_key(key) {
                 self.entries.insert(key, Entry::default());
             }
             if let Some(entry) = self.entries.get_mut(key) {
-                entry.places.clear();
+                entry.pool_positions.clear();
             }
         }
-        let made = pools
+        let built = pools
             .into_iter()
-            .map(|(group, spots)| (group, Pool::new(spots)));
-        self.pools = made.collect();
+            .map(|(key, members)| (key, Pool::new(members)));
+        self.pools = built.collect();
         for (index, pool) in self.pools.values().enumerate() {
             for (at, key) in pool.keys().iter().enumerate() {
                 if let Some(entry) = self.entries.get_mut(*key) {
-                    entry.places.push((index, at));
+                    entry.pool_positions.push((index, at));
                 }
             }
         }
         let known = |key| config.fleet.get(key).is_some() && Some(key) != me;
-        let gone: Vec<RouterKey> = self.peers.keys().filter(|key| !known(*key)).collect();
-        for key in gone {
-            self.forget(key);
+        let removed: Vec<RouterKey> = self.peers.keys().filter(|key| !known(*key)).collect();
+        for key in removed {
+            self.remove_peer(key);
         }
         for (key, router) in config.fleet.iter().filter(|(key, _)| Some(*key) != me) {
             if let Some(entry) = self.peers.entry(key) {
-                let there = self::region(config, &router.data_center);
-                entry.or_default().near = region.is_none() || region == there;
+                let peer_region = self::region(config, &router.data_center);
+                entry.or_default().in_own_region = region.is_none() || region == peer_region;
             }
         }
-        self.hear();
-        self.spread_all();
+        self.update_all_peers_heard();
+        self.update_all_pools();
     }
 
-    /// Follows the view of endpoints' states and lets what is too old go. The driver's ticks bring
-    /// it; in between, [`crate::place::choose`] checks the state of what it picks.
+    /// Takes over the endpoints' states from the view and discards old summaries and reports. It
+    /// runs at each tick; between ticks, [`crate::place::choose`] checks the state of the endpoint
+    /// that it picks.
     pub fn refresh(&mut self, now: Time, view: &View) {
-        let stale = |p: &Peer| p.heard.is_some_and(|t| now.since(t) > PEER_STALE);
-        let late = self.peers.iter().filter(|(_, p)| stale(p));
-        let late: Vec<RouterKey> = late.map(|(key, _)| key).collect();
-        for key in late {
-            self.silence(now, key);
+        let is_stale = |p: &Peer| {
+            p.last_summary
+                .is_some_and(|t| now.since(t) > PEER_SUMMARY_TTL)
+        };
+        let stale = self.peers.iter().filter(|(_, p)| is_stale(p));
+        let stale: Vec<RouterKey> = stale.map(|(key, _)| key).collect();
+        for key in stale {
+            self.discard_summary(now, key);
         }
         for entry in self.entries.values_mut() {
-            entry.expire(now, REPORT_STALE);
+            entry.expire(now, REPORT_TTL);
         }
-        self.hear();
+        self.update_all_peers_heard();
         for pool in self.pools.values_mut() {
             pool.set_states(|key| match view.state(now, key) {
                 State::Live => Usable::Yes,
@@ -179,95 +185,98 @@
         }
     }
 
-    /// Notes that this router sent a request.
+    /// Records that this router sent a request.
     pub fn sent(&mut self, now: Time, endpoint: EndpointKey) {
         if let Some(entry) = self.entries.get_mut(endpoint) {
             entry.own += 1;
-            entry.unshared += 1;
-            entry.remember(now);
+            entry.unannounced += 1;
+            entry.record_known(now);
         }
-        self.spread(endpoint);
+        self.update_pools(endpoint);
     }
 
-    /// Notes that a request of this router ended.
+    /// Records that a request of this router ended.
     pub fn ended(&mut self, now: Time, endpoint: EndpointKey) {
         if let Some(entry) = self.entries.get_mut(endpoint) {
             entry.own = entry.own.saturating_sub(1);
-            // What has ended before peers were told of it is nothing that they miss.
-            entry.unshared = entry.unshared.min(entry.own);
-            entry.remember(now);
+            // A request that ended before it was announced need not be announced any more.
+            entry.unannounced = entry.unannounced.min(entry.own);
+            entry.record_known(now);
         }
-        self.spread(endpoint);
+        self.update_pools(endpoint);
     }
 
-    /// Tells whether peers must hear of the own requests to an endpoint before it gets more.
-    pub fn must_tell(&self, endpoint: EndpointKey, limit: u32) -> bool {
+    /// Tells whether this router must announce its requests to an endpoint before it sends more.
+    pub fn must_announce(&self, endpoint: EndpointKey, limit: u32) -> bool {
         let Some(entry) = self.entries.get(endpoint) else {
             return false;
         };
-        let told = entry.load(self.whole).saturating_sub(entry.unshared);
-        entry.unshared >= quota(told, limit)
+        let announced = entry
+            .load(self.all_peers_heard)
+            .saturating_sub(entry.unannounced);
+        entry.unannounced >= max_unannounced(announced, limit)
     }
 
-    /// Notes that peers were told of the own requests.
-    pub fn shared(&mut self) {
+    /// Records that all own requests were announced to the peers.
+    pub fn mark_announced(&mut self) {
         for entry in self.entries.values_mut() {
-            entry.unshared = 0;
+            entry.unannounced = 0;
         }
         for pool in self.pools.values_mut() {
-            pool.shared();
+            pool.mark_announced();
         }
     }
 
-    /// Notes an endpoint's own report.
+    /// Records an endpoint's load report.
     pub fn report(&mut self, now: Time, endpoint: EndpointKey, report: &Report) {
         if let Some(entry) = self.entries.get_mut(endpoint) {
-            entry.report(now - report.age, report.in_flight);
+            entry.record_report(now - report.age, report.in_flight);
         }
-        self.spread(endpoint);
+        self.update_pools(endpoint);
     }
 
-    /// Notes the requests in progress that an answer's head states, which is a report without age.
-    pub fn stated(&mut self, now: Time, endpoint: EndpointKey, in_flight: u32) {
+    /// Records the requests in progress that an answer's head states, as a report of age zero.
+    pub fn record_answer_load(&mut self, now: Time, endpoint: EndpointKey, in_flight: u32) {
         if let Some(entry) = self.entries.get_mut(endpoint) {
-            entry.report(now, in_flight);
+            entry.record_report(now, in_flight);
         }
-        self.spread(endpoint);
+        self.update_pools(endpoint);
     }
 
-    /// Notes a peer's own requests in progress; endpoints not named have none.
+    /// Records the requests in progress of a peer, from its summary; endpoints not listed have
+    /// none.
     pub fn peer(&mut self, now: Time, router: RouterKey, loads: &[(EndpointKey, u32)]) {
-        self.silence(now, router);
+        self.discard_summary(now, router);
         for &(key, in_flight) in loads {
             if let Some(entry) = self.entries.get_mut(key) {
                 entry.peers += in_flight;
-                entry.remember(now);
+                entry.record_known(now);
             }
-            self.spread(key);
+            self.update_pools(key);
         }
         if let Some(entry) = self.peers.entry(router) {
             let peer = entry.or_default();
-            peer.heard = Some(now);
+            peer.last_summary = Some(now);
             peer.loads = loads.to_vec();
         }
-        self.hear();
+        self.update_all_peers_heard();
     }
 
-    /// Forgets a peer that is gone.
-    pub fn forget(&mut self, router: RouterKey) {
+    /// Removes a peer that left the fleet.
+    pub fn remove_peer(&mut self, router: RouterKey) {
         if let Some(peer) = self.peers.remove(router) {
-            self.take_out(None, &peer.loads);
+            self.subtract_loads(None, &peer.loads);
         }
-        self.hear();
+        self.update_all_peers_heard();
     }
 
-    /// Estimates the requests in progress at an endpoint from all routers.
+    /// Estimates the requests of all routers in progress at an endpoint.
     pub fn estimate(&self, _now: Time, endpoint: EndpointKey) -> u32 {
         let entry = self.entries.get(endpoint);
-        entry.map_or(0, |e| e.load(self.whole))
+        entry.map_or(0, |e| e.load(self.all_peers_heard))
     }
 
-    /// Lists own requests in progress, endpoints with none left out.
+    /// Lists the own requests in progress of each endpoint that has any.
     pub fn own(&self) -> impl Iterator<Item = (EndpointKey, u32)> {
         self.entries
             .iter()
@@ -275,66 +284,68 @@
             .map(|(key, e)| (key, e.own))
     }
 
-    /// Gets an endpoint's place in the pool of a model or service.
-    pub fn place(&self, group: Group, endpoint: EndpointKey) -> Option<usize> {
-        let wanted = self.pools.get_index_of(&group)?;
-        let places = &self.entries.get(endpoint)?.places;
-        let found = places.iter().find(|(index, _)| *index == wanted);
+    /// Gets an endpoint's position in a pool.
+    pub fn position(&self, pool: PoolKey, endpoint: EndpointKey) -> Option<usize> {
+        let wanted = self.pools.get_index_of(&pool)?;
+        let positions = &self.entries.get(endpoint)?.pool_positions;
+        let found = positions.iter().find(|(index, _)| *index == wanted);
         found.map(|(_, at)| *at)
     }
 
     /// Gets the pool of a model or service.
-    pub fn pool(&self, group: Group) -> Option<&Pool> {
-        self.pools.get(&group)
+    pub fn pool(&self, key: PoolKey) -> Option<&Pool> {
+        self.pools.get(&key)
     }
 
-    /// Drops what a peer said, but not the peer.
-    fn silence(&mut self, now: Time, router: RouterKey) {
+    /// Discards a peer's last summary, and keeps the peer.
+    fn discard_summary(&mut self, now: Time, router: RouterKey) {
         if let Some(peer) = self.peers.get_mut(router) {
-            peer.heard = None;
+            peer.last_summary = None;
             let loads = std::mem::take(&mut peer.loads);
-            self.take_out(Some(now), &loads);
+            self.subtract_loads(Some(now), &loads);
         }
     }
 
-    fn take_out(&mut self, now: Option<Time>, loads: &[(EndpointKey, u32)]) {
+    fn subtract_loads(&mut self, now: Option<Time>, loads: &[(EndpointKey, u32)]) {
         for &(key, in_flight) in loads {
             if let Some(entry) = self.entries.get_mut(key) {
                 entry.peers = entry.peers.saturating_sub(in_flight);
                 if let Some(now) = now {
-                    entry.remember(now);
+                    entry.record_known(now);
                 }
             }
-            self.spread(key);
+            self.update_pools(key);
         }
     }
 
-    /// Finds out anew whether every peer is heard.
-    fn hear(&mut self) {
-        let whole = self.peers.values().all(|p| p.heard.is_some() || !p.near);
-        if whole != self.whole {
-            self.whole = whole;
-            self.spread_all();
+    fn update_all_peers_heard(&mut self) {
+        let all_heard = self
+            .peers
+            .values()
+            .all(|p| p.last_summary.is_some() || !p.in_own_region);
+        if all_heard != self.all_peers_heard {
+            self.all_peers_heard = all_heard;
+            self.update_all_pools();
         }
     }
 
-    /// Brings an endpoint's load into its pools.
-    fn spread(&mut self, endpoint: EndpointKey) {
+    /// Copies an endpoint's load into its pools.
+    fn update_pools(&mut self, endpoint: EndpointKey) {
         let Some(entry) = self.entries.get(endpoint) else {
             return;
         };
-        let load = entry.load(self.whole);
-        for &(index, at) in &entry.places {
+        let load = entry.load(self.all_peers_heard);
+        for &(index, at) in &entry.pool_positions {
             if let Some((_, pool)) = self.pools.get_index_mut(index) {
-                pool.set(at, (load, entry.known()), entry.unshared);
+                pool.set_load(at, (load, entry.known()), entry.unannounced);
             }
         }
     }
 
-    fn spread_all(&mut self) {
+    fn update_all_pools(&mut self) {
         let keys: Vec<EndpointKey> = self.entries.keys().collect();
         for key in keys {
-            self.spread(key);
+            self.update_pools(key);
         }
     }
 }
--- a/crates/core/src/load/pool.rs
+++ b/crates/core/src/load/pool.rs
@@ -1,74 +1,75 @@
-//! The endpoints that can stand for each other, as flat arrays.
+//! Pools of interchangeable endpoints, stored as flat arrays.
 
 use std::ops::Range;
 
 use crate::{arena::EndpointKey, ids::Tag};
 
-/// `Usable` says whether an endpoint may get work.
+/// `Usable` tells whether an endpoint may get work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Usable {
-    /// It may not.
+    /// It gets no work.
     No,
-    /// Only where no other can.
+    /// It gets work only where no other endpoint can.
     LastResort,
-    /// It may.
+    /// It may get work.
     #[default]
     Yes,
 }
 
-/// `Spot` is one endpoint of a pool.
+/// `PoolMember` is one endpoint of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spot {
+pub struct PoolMember {
     /// The endpoint.
     pub key: EndpointKey,
     /// Tag of its name.
     pub tag: Tag,
-    /// Requests in progress that it takes at once.
+    /// Requests that it can have in progress at once.
     pub capacity: u32,
     /// Whether it is in this router's region.
-    pub near: bool,
+    pub in_own_region: bool,
 }
 
-/// Load of an endpoint that gets no work: above every limit.
-pub const CLOSED: u32 = u32::MAX;
+/// Load that stands for an endpoint that gets no work: above every limit.
+pub const NO_ROOM: u32 = u32::MAX;
 
-/// Odd constant of the score: 2^64 over the golden ratio (Knuth, TAOCP 3, section 6.4).
-const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Multiplier of the score, odd: 2^64 over the golden ratio (Knuth, TAOCP 3, section 6.4).
+const SCORE_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// `Sum` is the requests in progress at some endpoints, and their number.
+/// `LoadTotals` is the number of some endpoints and of the requests in progress there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sum {
-    /// Requests in progress.
+pub struct LoadTotals {
+    /// Requests in progress, as estimated.
     pub total: u64,
-    /// Those of this router and the peers that it hears.
-    pub heard: u64,
-    /// Endpoints.
+    /// Requests of this router and of the peers whose summaries are current.
+    pub known: u64,
+    /// Number of endpoints.
     pub count: u64,
 }
 
-/// `Pool` is the endpoints of one model or service, those of the own region first.
+/// `Pool` holds the endpoints of one model or service, those of the own region first.
 ///
 /// # Invariants
 ///
-/// All arrays are of one length; `near` is at most that. `open` and `sums` follow from the others.
+/// All arrays have the same length, which `own_region_len` doesn't exceed. `available` and
+/// `totals` are derived from the other fields.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     keys: Vec<EndpointKey>,
     seeds: Vec<u64>,
     capacities: Vec<u32>,
     loads: Vec<u32>,
-    heard: Vec<u32>,
-    unshared: Vec<u32>,
+    known: Vec<u32>,
+    unannounced: Vec<u32>,
     usable: Vec<Usable>,
-    // By kind of round: the load, or `CLOSED` where the round must not place.
-    open: [Vec<u32>; 2],
-    // By kind of round and region, the own one first.
-    sums: [[Sum; 2]; 2],
-    near: usize,
+    // By `usable_index`: the load, or `NO_ROOM` where the endpoint is full or less usable.
+    available: [Vec<u32>; 2],
+    // By `usable_index`, then by region: the own one and the others.
+    totals: [[LoadTotals; 2]; 2],
+    own_region_len: usize,
 }
 
-/// Gets the index of a round that takes endpoints at least as `usable`.
-const fn round(usable: Usable) -> usize {
+/// Gets the index of the arrays for endpoints that are at least as `usable`.
+const fn usable_index(usable: Usable) -> usize {
     match usable {
         Usable::Yes => 0,
         Usable::LastResort | Usable::No => 1,
@@ -76,52 +77,52 @@
 }
 
 impl Pool {
-    pub(super) fn new(mut spots: Vec<Spot>) -> Self {
-        spots.sort_by_key(|s| (!s.near, s.tag));
-        let seed = |s: &Spot| xxhash_rust::xxh3::xxh3_64(&s.tag.0.to_le_bytes());
+    pub(super) fn new(mut members: Vec<PoolMember>) -> Self {
+        members.sort_by_key(|m| (!m.in_own_region, m.tag));
+        let seed = |m: &PoolMember| xxhash_rust::xxh3::xxh3_64(&m.tag.0.to_le_bytes());
         let mut pool = Self {
-            keys: spots.iter().map(|s| s.key).collect(),
-            seeds: spots.iter().map(seed).collect(),
-            capacities: spots.iter().map(|s| s.capacity).collect(),
-            loads: vec![0; spots.len()],
-            heard: vec![0; spots.len()],
-            unshared: vec![0; spots.len()],
-            usable: vec![Usable::Yes; spots.len()],
-            open: [vec![CLOSED; spots.len()], vec![CLOSED; spots.len()]],
-            sums: <[[Sum; 2]; 2]>::default(),
-            near: spots.iter().filter(|s| s.near).count(),
+            keys: members.iter().map(|m| m.key).collect(),
+            seeds: members.iter().map(seed).collect(),
+            capacities: members.iter().map(|m| m.capacity).collect(),
+            loads: vec![0; members.len()],
+            known: vec![0; members.len()],
+            unannounced: vec![0; members.len()],
+            usable: vec![Usable::Yes; members.len()],
+            available: [vec![NO_ROOM; members.len()], vec![NO_ROOM; members.len()]],
+            totals: <[[LoadTotals; 2]; 2]>::default(),
+            own_region_len: members.iter().filter(|m| m.in_own_region).count(),
         };
-        pool.work_out();
+        pool.recompute();
         pool
     }
 
-    /// Lists the endpoints.
+    /// Lists the endpoints by position.
     pub fn keys(&self) -> &[EndpointKey] {
         &self.keys
     }
 
-    /// Gets the places of the own region's endpoints.
-    pub fn near(&self) -> Range<usize> {
-        0..self.near
+    /// Gets the positions of the own region's endpoints.
+    pub fn own_region(&self) -> Range<usize> {
+        0..self.own_region_len
     }
 
-    /// Gets the places of the other regions' endpoints.
-    pub fn far(&self) -> Range<usize> {
-        self.near..self.keys.len()
+    /// Gets the positions of the other regions' endpoints.
+    pub fn other_regions(&self) -> Range<usize> {
+        self.own_region_len..self.keys.len()
     }
 
-    /// Gets the load of the endpoints of [`Pool::near`] or [`Pool::far`] that are at least as
-    /// `usable`.
-    pub fn sum(&self, span: &Range<usize>, usable: Usable) -> Sum {
+    /// Gets the totals of the endpoints of [`Pool::own_region`] or [`Pool::other_regions`] that are
+    /// at least as `usable`.
+    pub fn totals(&self, span: &Range<usize>, usable: Usable) -> LoadTotals {
         if span.is_empty() {
-            return Sum::default();
+            return LoadTotals::default();
         }
-        self.sums[round(usable)][usize::from(span.end > self.near)]
+        self.totals[usable_index(usable)][usize::from(span.end > self.own_region_len)]
     }
 
-    /// Lists the loads of a span, [`CLOSED`] for endpoints that are full or less than `usable`.
-    pub fn open(&self, span: &Range<usize>, usable: Usable) -> &[u32] {
-        &self.open[round(usable)][span.clone()]
+    /// Lists the loads of a span, [`NO_ROOM`] for endpoints that are full or less than `usable`.
+    pub fn available_loads(&self, span: &Range<usize>, usable: Usable) -> &[u32] {
+        &self.available[usable_index(usable)][span.clone()]
     }
 
     /// Lists the seeds of a span, for [`score`].
@@ -129,44 +130,45 @@
         &self.seeds[span.clone()]
     }
 
-    /// Gets the load at a place, [`CLOSED`] where it is full or less than `usable`.
-    pub fn open_at(&self, at: usize, usable: Usable) -> u32 {
-        self.open[round(usable)][at]
+    /// Gets the load of the endpoint at a position, [`NO_ROOM`] where it is full or less than
+    /// `usable`.
+    pub fn available_load(&self, at: usize, usable: Usable) -> u32 {
+        self.available[usable_index(usable)][at]
     }
 
-    /// Gets the requests at a place of this router and the peers that it hears.
-    pub fn heard(&self, at: usize) -> u32 {
-        self.heard[at]
+    /// Gets the requests at a position of this router and of the peers whose summaries are current.
+    pub fn known(&self, at: usize) -> u32 {
+        self.known[at]
     }
 
-    /// Gets the own requests at a place of which peers were not told yet.
-    pub fn unshared(&self, at: usize) -> u32 {
-        self.unshared[at]
+    /// Gets the own requests at a position that are not announced to the peers yet.
+    pub fn unannounced(&self, at: usize) -> u32 {
+        self.unannounced[at]
     }
 
-    /// Tells whether the endpoint at a place may get work.
+    /// Tells whether the endpoint at a position may get work.
     pub fn usable(&self, at: usize) -> Usable {
         self.usable[at]
     }
 
-    pub(super) fn set(&mut self, at: usize, (load, heard): (u32, u32), unshared: u32) {
-        let old = (u64::from(self.loads[at]), u64::from(self.heard[at]));
-        let region = usize::from(at >= self.near);
-        for (kind, usable) in [Usable::Yes, Usable::LastResort].into_iter().enumerate() {
+    pub(super) fn set_load(&mut self, at: usize, (load, known): (u32, u32), unannounced: u32) {
+        let old = (u64::from(self.loads[at]), u64::from(self.known[at]));
+        let region = usize::from(at >= self.own_region_len);
+        for (index, usable) in [Usable::Yes, Usable::LastResort].into_iter().enumerate() {
             if self.usable[at] >= usable {
-                let sum = &mut self.sums[kind][region];
-                sum.total = sum.total - old.0 + u64::from(load);
-                sum.heard = sum.heard - old.1 + u64::from(heard);
+                let totals = &mut self.totals[index][region];
+                totals.total = totals.total - old.0 + u64::from(load);
+                totals.known = totals.known - old.1 + u64::from(known);
             }
         }
         self.loads[at] = load;
-        self.heard[at] = heard;
-        self.unshared[at] = unshared;
-        self.work_out_open(at);
+        self.known[at] = known;
+        self.unannounced[at] = unannounced;
+        self.recompute_available(at);
     }
 
-    pub(super) fn shared(&mut self) {
-        self.unshared.fill(0);
+    pub(super) fn mark_announced(&mut self) {
+        self.unannounced.fill(0);
     }
 
     pub(super) fn set_states(&mut self, state: impl Fn(EndpointKey) -> Usable) {
@@ -177,46 +179,48 @@
             *usable = next;
         }
         if changed {
-            self.work_out();
+            self.recompute();
         }
     }
 
-    fn work_out(&mut self) {
-        self.sums = <[[Sum; 2]; 2]>::default();
+    /// Computes the derived fields from the others.
+    fn recompute(&mut self) {
+        self.totals = <[[LoadTotals; 2]; 2]>::default();
         for at in 0..self.keys.len() {
-            let region = usize::from(at >= self.near);
-            for (kind, usable) in [Usable::Yes, Usable::LastResort].into_iter().enumerate() {
+            let region = usize::from(at >= self.own_region_len);
+            for (index, usable) in [Usable::Yes, Usable::LastResort].into_iter().enumerate() {
                 if self.usable[at] >= usable {
-                    let sum = &mut self.sums[kind][region];
-                    sum.total += u64::from(self.loads[at]);
-                    sum.heard += u64::from(self.heard[at]);
-                    sum.count += 1;
+                    let totals = &mut self.totals[index][region];
+                    totals.total += u64::from(self.loads[at]);
+                    totals.known += u64::from(self.known[at]);
+                    totals.count += 1;
                 }
             }
-            self.work_out_open(at);
+            self.recompute_available(at);
         }
     }
 
-    fn work_out_open(&mut self, at: usize) {
-        for (kind, usable) in [Usable::Yes, Usable::LastResort].into_iter().enumerate() {
-            let takes = self.usable[at] >= usable && self.loads[at] < self.capacities[at];
-            self.open[kind][at] = if takes { self.loads[at] } else { CLOSED };
+    fn recompute_available(&mut self, at: usize) {
+        for (index, usable) in [Usable::Yes, Usable::LastResort].into_iter().enumerate() {
+            let has_room = self.usable[at] >= usable && self.loads[at] < self.capacities[at];
+            self.available[index][at] = if has_room { self.loads[at] } else { NO_ROOM };
         }
     }
 }
 
-/// Gets the seed of an item, for [`score`].
+/// Gets the seed of an item, such as a prefix, for [`score`].
 pub fn item_seed(item: u64) -> u64 {
     xxhash_rust::xxh3::xxh3_64(&item.to_le_bytes())
 }
 
-/// Gets the rendezvous score of an endpoint for an item, both by their seeds: the two halves of
-/// their product folded, one multiplication where a hash of both would take several.
+/// Gets the rendezvous score of an endpoint for an item from their seeds. It multiplies the
+/// combined seeds once and folds the two halves of the product, which costs less than a hash of
+/// both.
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "the halves are what is wanted"
+    reason = "the product is split into its halves"
 )]
 pub const fn score(item: u64, endpoint: u64) -> u64 {
-    let product = (item ^ endpoint) as u128 * GOLDEN as u128;
+    let product = (item ^ endpoint) as u128 * SCORE_MULTIPLIER as u128;
     (product >> 64) as u64 ^ product as u64
 }
--- a/crates/core/src/node/calls.rs
+++ b/crates/core/src/node/calls.rs
@@ -25,7 +25,7 @@
     peer::Message,
     place::{
         self,
-        Scene, //
+        PlacementContext, //
     },
     request::{
         Call,
@@ -150,7 +150,7 @@
     /// Gets the refusal of a call that the overload gate rejects.
     fn check_overload(&mut self, now: Now, call: Call) -> Option<Refusal> {
         let open = self.calls.get(&call)?;
-        let scene = Scene {
+        let scene = PlacementContext {
             config: self.store.current(),
             view: &self.view,
             loads: &self.loads,
@@ -224,15 +224,15 @@
                 return self.refuse_admitted(now, call, refusal, out);
             }
         }
-        let scene = Scene {
+        let scene = PlacementContext {
             config: &config,
             view: &self.view,
             loads: &self.loads,
             now: now.mono,
         };
-        let work = self
-            .recent
-            .recall(scene, open.request.workspace, &open.request.work);
+        let work =
+            self.recent
+                .with_presumed_token(scene, open.request.workspace, &open.request.work);
         let Some(placed) = place::choose(scene, &work, &open.tried, &mut self.rng) else {
             if self.view.recently_paused(now.mono) {
                 // The view predates a pause of the process; the next polls may confirm an endpoint.
@@ -251,7 +251,7 @@
         open.last_sent = now.mono;
         let load = self.loads.estimate(now.mono, endpoint);
         self.loads.sent(now.mono, endpoint);
-        let needs_summary = self.loads.must_tell(endpoint, placed.limit);
+        let needs_summary = self.loads.must_announce(endpoint, placed.limit);
         let token = match (&open.request.work, config.endpoints.get(endpoint)) {
             (Work::Chat { token, .. }, Some(e)) => Some(Token {
                 last: e.tag,
--- a/crates/core/src/node/endpoints.rs
+++ b/crates/core/src/node/endpoints.rs
@@ -81,7 +81,7 @@
             && let Stage::Dispatched { endpoint, .. } = open.stage
             && let Some(in_flight) = in_flight
         {
-            self.loads.stated(now.mono, endpoint, in_flight);
+            self.loads.record_answer_load(now.mono, endpoint, in_flight);
         }
     }
 
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -37,7 +37,7 @@
     },
     ids::Id,
     limits::Limits,
-    load::Table,
+    load::LoadTable,
     membership::{
         Observation,
         View, //
@@ -46,8 +46,8 @@
     orders::Orders,
     overload::Gate,
     place::{
-        Scene,
-        moves::Recent, //
+        PlacementContext,
+        moves::RecentChats, //
     },
     request::{
         Attempt,
@@ -139,8 +139,8 @@
     store: Store,
     me: Option<RouterKey>,
     view: View,
-    loads: Table,
-    recent: Recent,
+    loads: LoadTable,
+    recent: RecentChats,
     limits: Limits,
     gate: Gate,
     home: Home,
@@ -174,8 +174,8 @@
             store: Store::default(),
             me: None,
             view: View::default(),
-            loads: Table::default(),
-            recent: Recent::default(),
+            loads: LoadTable::default(),
+            recent: RecentChats::default(),
             limits: Limits::default(),
             gate: Gate::default(),
             home,
@@ -216,7 +216,7 @@
     }
 
     /// Gets the load estimates of the endpoints.
-    pub fn loads(&self) -> &Table {
+    pub fn loads(&self) -> &LoadTable {
         &self.loads
     }
 
@@ -375,7 +375,7 @@
 
     fn tick_moves(&mut self, now: Now, out: &mut Vec<Action>) {
         let config = Arc::clone(self.store.current());
-        let scene = Scene {
+        let scene = PlacementContext {
             config: &config,
             view: &self.view,
             loads: &self.loads,
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -272,7 +272,7 @@
         self.last_summary = now.mono;
         self.summary_due = false;
         let summary = self.build_summary(now);
-        self.loads.shared();
+        self.loads.mark_announced();
         for router in self.peers.keys() {
             let message = Message::Summary(summary.clone());
             out.push(Action::Send { router, message });
--- a/crates/core/src/overload.rs
+++ b/crates/core/src/overload.rs
@@ -28,10 +28,10 @@
     ids::Id,
     limits::Demand,
     load::{
-        Group,
+        PoolKey,
         Usable, //
     },
-    place::Scene,
+    place::PlacementContext,
     request::{
         Request,
         Work, //
@@ -89,10 +89,10 @@
 
 /// Gets what a request needs an endpoint for, if it may be shed. A call that runs at most once is
 /// not shed: its first attempt may have run elsewhere, so that "not run" could not be promised.
-fn group(work: &Work) -> Option<Group> {
+fn group(work: &Work) -> Option<PoolKey> {
     match work {
-        Work::Chat { model, .. } => Some(Group::Model(*model)),
-        Work::Plain { service, .. } => Some(Group::Service(*service)),
+        Work::Chat { model, .. } => Some(PoolKey::Model(*model)),
+        Work::Plain { service, .. } => Some(PoolKey::Service(*service)),
         Work::Once { .. } => None,
     }
 }
@@ -148,13 +148,17 @@
 }
 
 impl Load {
-    fn new(scene: Scene<'_>, group: Group) -> Self {
+    fn new(scene: PlacementContext<'_>, group: PoolKey) -> Self {
         let mut load = Self::default();
         let Some(pool) = scene.loads.pool(group) else {
             return load;
         };
-        let near = pool.near();
-        let span = if near.is_empty() { pool.far() } else { near };
+        let near = pool.own_region();
+        let span = if near.is_empty() {
+            pool.other_regions()
+        } else {
+            near
+        };
         let keys = pool.keys().get(span.clone()).unwrap_or_default();
         for (at, &key) in span.zip(keys) {
             if pool.usable(at) == Usable::No {
@@ -183,9 +187,9 @@
     /// Routers of the own region, this one included.
     routers: u64,
     /// Mean service times, at most one for each published model and service.
-    service_times: IndexMap<Group, Millis>,
+    service_times: IndexMap<PoolKey, Millis>,
     /// Growth of own work, at most one for each published model and service.
-    growths: IndexMap<Group, Growth>,
+    growths: IndexMap<PoolKey, Growth>,
     shed: Demand,
     taken: Demand,
 }
@@ -199,9 +203,9 @@
         let own = own.and_then(|r| region(config, &r.data_center));
         let near = |r: &Router| own.is_none() || region(config, &r.data_center) == own;
         self.routers = config.fleet.iter().filter(|(_, r)| near(r)).count() as u64;
-        let stays = |group: &Group| match group {
-            Group::Model(key) => config.models.get(*key).is_some(),
-            Group::Service(key) => config.services.get(*key).is_some(),
+        let stays = |group: &PoolKey| match group {
+            PoolKey::Model(key) => config.models.get(*key).is_some(),
+            PoolKey::Service(key) => config.services.get(*key).is_some(),
         };
         self.service_times.retain(|group, _| stays(group));
         self.growths.retain(|group, _| stays(group));
@@ -211,7 +215,7 @@
     /// each call that this router has in progress.
     pub fn admit(
         &mut self,
-        scene: Scene<'_>,
+        scene: PlacementContext<'_>,
         request: &Request,
         open: impl Iterator<Item = WorkspaceKey>,
         rng: &mut impl Rng,
@@ -269,14 +273,14 @@
 
     /// Estimates the time until a request gets its turn: those above the capacity, at the rate at
     /// which a full pool ends them (Little's law).
-    fn wait(&self, group: Group, load: Load) -> Millis {
+    fn wait(&self, group: PoolKey, load: Load) -> Millis {
         let mean = self.service_times.get(&group).copied().unwrap_or_default();
         let ahead = load.in_flight.saturating_sub(load.capacity);
         Millis(ahead.saturating_mul(mean.0) / load.capacity.max(1))
     }
 
     /// Gets the part of the capacity that may queue at engines without a wait above [`MAX_QUEUE`].
-    fn queue(&self, group: Group) -> Permille {
+    fn queue(&self, group: PoolKey) -> Permille {
         let mean = self.service_times.get(&group).map_or(0, |t| t.0);
         if mean == 0 {
             return Permille(0);
@@ -303,7 +307,7 @@
     /// Spreads the returns: the more is shed of what comes, the longer.
     fn retry_after(
         &self,
-        scene: Scene<'_>,
+        scene: PlacementContext<'_>,
         request: &Request,
         left: Millis,
         rng: &mut impl Rng,
--- a/crates/core/tests/overload_pool/mod.rs
+++ b/crates/core/tests/overload_pool/mod.rs
@@ -25,7 +25,7 @@
         store::Store, //
     },
     ids::Id,
-    load::Table,
+    load::LoadTable,
     membership::View,
     overload::{
         Gate,
@@ -35,7 +35,7 @@
         Change,
         Entry, //
     },
-    place::Scene,
+    place::PlacementContext,
     request::{
         Origin,
         Prefix,
@@ -89,7 +89,7 @@
 
 struct Router {
     gate: Gate,
-    loads: Table,
+    loads: LoadTable,
     open: Vec<WorkspaceKey>,
 }
 
@@ -136,7 +136,7 @@
         let router = |i| {
             let mut gate = Gate::default();
             gate.apply(&config, Some(member(i)));
-            let mut loads = Table::default();
+            let mut loads = LoadTable::default();
             loads.apply(&config, Some(member(i)));
             Router {
                 gate,
@@ -262,7 +262,7 @@
             deadline,
         };
         let entry = &mut self.routers[router];
-        let scene = Scene {
+        let scene = PlacementContext {
             config: &self.config,
             view: &self.view,
             loads: &entry.loads,
--- a/crates/core/tests/place/choose.rs
+++ b/crates/core/tests/place/choose.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use toucanturn_core::{
     membership::Observation,
-    place::moves::Recent,
+    place::moves::RecentChats,
     request::{
         Prefix,
         Reason,
@@ -93,7 +93,7 @@
     for prefix in 0..12 {
         let work = router.chat(prefix, None);
         names.extend(router.send(&work));
-        router.loads.shared();
+        router.loads.mark_announced();
     }
     expect_that!(names.len(), eq(12));
     expect_true!(names[..6].iter().all(|n| n.starts_with("near")));
@@ -120,7 +120,7 @@
     let work = router.chat(7, Some(router.token("near-0", None)));
     for _ in 0..6 {
         expect_that!(router.send(&work).unwrap(), not(eq("near-0")));
-        router.loads.shared();
+        router.loads.mark_announced();
     }
     expect_that!(router.choose(&work).unwrap().endpoint, eq(suspect));
 }
@@ -153,7 +153,7 @@
     let work = router.chat(7, Some(router.token("near-0", None)));
     for sent in 1..=600_u32 {
         router.send(&work).unwrap();
-        router.loads.shared();
+        router.loads.mark_announced();
         let now = router.now;
         let keys = (0..12).map(|i| router.key(&format!("near-{i}")));
         let most = keys.map(|key| router.loads.estimate(now, key)).max();
@@ -188,13 +188,13 @@
     let mut router = router(4, 0, 1000);
     for engine in 1..4 {
         let key = router.key(&format!("near-{engine}"));
-        router.loads.stated(router.now, key, 2);
+        router.loads.record_answer_load(router.now, key, 2);
     }
     let work = router.chat(7, Some(router.token("near-0", None)));
     let mut count = [0_u32; 4];
     for sent in 1..=80_u32 {
         let name = router.send(&work).unwrap();
-        router.loads.shared();
+        router.loads.mark_announced();
         let engine: usize = name.trim_start_matches("near-").parse().unwrap();
         count[engine] += 1;
         let limit = (sent * 125).div_ceil(400);
@@ -213,7 +213,7 @@
     let mut count = indexmap::IndexMap::<String, u32>::new();
     for _ in 0..400 {
         *count.entry(router.send(&work).unwrap()).or_default() += 1;
-        router.loads.shared();
+        router.loads.mark_announced();
     }
     expect_that!(count.len(), eq(4));
     expect_true!(count.values().all(|n| (95..=105).contains(n)));
@@ -228,7 +228,7 @@
     let Work::Chat { model, .. } = router.chat(0, None) else {
         return;
     };
-    let mut recent = Recent::default();
+    let mut recent = RecentChats::default();
     for prefix in 0..40 {
         recent.note(Prefix(prefix), model, (gone, LIFE));
     }
@@ -260,17 +260,21 @@
     let Work::Chat { model, .. } = router.chat(0, None) else {
         return;
     };
-    let mut recent = Recent::default();
+    let mut recent = RecentChats::default();
     let near = router.key("near-0");
     let low = router.chat(1000, None);
-    expect_that!(recent.recall(router.scene(), workspace, &low), eq(&low));
+    expect_that!(
+        recent.with_presumed_token(router.scene(), workspace, &low),
+        eq(&low)
+    );
     for prefix in 0..4 {
         recent.note(Prefix(prefix), model, (near, LIFE));
         let work = router.chat(prefix, None);
-        recent.recall(router.scene(), workspace, &work);
+        recent.with_presumed_token(router.scene(), workspace, &work);
     }
     let home = router.choose(&low).unwrap();
-    let Work::Chat { token, .. } = recent.recall(router.scene(), workspace, &low) else {
+    let Work::Chat { token, .. } = recent.with_presumed_token(router.scene(), workspace, &low)
+    else {
         return;
     };
     let presumed = token.map(|t| t.last);
@@ -295,7 +299,7 @@
     for prefix in 0..60 {
         let work = router.chat(prefix, None);
         router.send(&work).unwrap();
-        router.loads.shared();
+        router.loads.mark_announced();
     }
     let first = router.loads.estimate(router.now, router.key("near-4"));
     expect_that!(first, le(7));
--- a/crates/core/tests/place/fixture.rs
+++ b/crates/core/tests/place/fixture.rs
@@ -21,7 +21,7 @@
         store::Store, //
     },
     ids::Id,
-    load::Table,
+    load::LoadTable,
     membership::{
         Observation,
         SelfReport, //
@@ -32,7 +32,7 @@
         Entry, //
     },
     place::{
-        Scene,
+        PlacementContext,
         choose, //
     },
     request::{
@@ -56,7 +56,7 @@
 pub(crate) struct Router {
     pub(crate) config: Arc<Config>,
     pub(crate) view: View,
-    pub(crate) loads: Table,
+    pub(crate) loads: LoadTable,
     pub(crate) now: Time,
     rng: StdRng,
 }
@@ -71,7 +71,7 @@
     let me = config.fleet.key(&id(&format!("rt-{index}")));
     let mut view = View::default();
     view.apply(NOW, &config);
-    let mut loads = Table::default();
+    let mut loads = LoadTable::default();
     loads.apply(&config, me);
     for (key, _) in config.endpoints.iter() {
         view.self_report(NOW, key, answer(NOW, LIFE));
@@ -176,8 +176,8 @@
         }
     }
 
-    pub(crate) fn scene(&self) -> Scene<'_> {
-        Scene {
+    pub(crate) fn scene(&self) -> PlacementContext<'_> {
+        PlacementContext {
             config: &self.config,
             view: &self.view,
             loads: &self.loads,
@@ -186,7 +186,7 @@
     }
 
     pub(crate) fn choose(&mut self, work: &Work) -> Option<Placed> {
-        let scene = Scene {
+        let scene = PlacementContext {
             config: &self.config,
             view: &self.view,
             loads: &self.loads,
@@ -208,7 +208,7 @@
         for _ in 0..count {
             self.loads.sent(self.now, key);
         }
-        self.loads.shared();
+        self.loads.mark_announced();
     }
 
     /// Hears every peer say that it has nothing in progress.
--- a/crates/core/tests/place/load.rs
+++ b/crates/core/tests/place/load.rs
@@ -82,7 +82,7 @@
 fn verify_old_report_doesnt_replace_what_a_head_stated() {
     let mut router = router(2, 0, 64);
     let key = router.key("near-0");
-    router.loads.stated(router.now, key, 8);
+    router.loads.record_answer_load(router.now, key, 8);
     router.loads.report(router.now, key, &report(0));
     expect_that!(estimate(&router, "near-0"), eq(8));
 }
@@ -94,9 +94,9 @@
     router.hear_all();
     let key = router.key("near-0");
     router.fill("near-0", 4);
-    router.loads.stated(router.now, key, 6);
+    router.loads.record_answer_load(router.now, key, 6);
     expect_that!(estimate(&router, "near-0"), eq(4));
-    router.loads.stated(router.now, key, 14);
+    router.loads.record_answer_load(router.now, key, 14);
     expect_that!(estimate(&router, "near-0"), eq(12));
 }
 
@@ -106,10 +106,10 @@
     let key = router.key("near-0");
     let (far, close) = (40, 3);
     router.loads.sent(router.now, key);
-    expect_false!(router.loads.must_tell(key, far));
-    expect_true!(router.loads.must_tell(key, close));
+    expect_false!(router.loads.must_announce(key, far));
+    expect_true!(router.loads.must_announce(key, close));
     router.loads.sent(router.now, key);
-    expect_true!(router.loads.must_tell(key, far));
-    router.loads.shared();
-    expect_false!(router.loads.must_tell(key, close));
+    expect_true!(router.loads.must_announce(key, far));
+    router.loads.mark_announced();
+    expect_false!(router.loads.must_announce(key, close));
 }
--- a/crates/toucanturn/src/explain/mod.rs
+++ b/crates/toucanturn/src/explain/mod.rs
@@ -28,7 +28,7 @@
     },
     files, output,
     view::{
-        Scene,
+        PlacementContext,
         View, //
     },
 };
@@ -52,7 +52,7 @@
     let view = args.view.as_deref().map(read_view).transpose()?;
     let subject = Subject::new(&config, args)?;
     let me = router(&config, args, view.as_ref())?;
-    let scene = Scene::new(&config, me, view.as_ref())?;
+    let scene = PlacementContext::new(&config, me, view.as_ref())?;
     let ranked = rank(&config, &scene, &subject.work, args.seed);
     let report = Report::new(&config, &scene, &subject, &ranked, args.seed);
     if args.json {
@@ -82,7 +82,7 @@
 }
 
 /// Ranks the endpoints as the router's attempts would: each time all earlier ones were tried.
-fn rank(config: &Config, scene: &Scene, work: &Work, seed: u64) -> Vec<Placed> {
+fn rank(config: &Config, scene: &PlacementContext, work: &Work, seed: u64) -> Vec<Placed> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut tried: Vec<EndpointKey> = Vec::new();
     let mut ranked = Vec::new();
@@ -99,12 +99,12 @@
 
 fn choose(
     config: &Config,
-    scene: &Scene,
+    scene: &PlacementContext,
     work: &Work,
     tried: &[EndpointKey],
     rng: &mut StdRng,
 ) -> Option<Placed> {
-    let scene = place::Scene {
+    let scene = place::PlacementContext {
         config,
         view: &scene.view,
         loads: &scene.loads,
--- a/crates/toucanturn/src/explain/report.rs
+++ b/crates/toucanturn/src/explain/report.rs
@@ -20,7 +20,7 @@
 use super::subject::Subject;
 use crate::{
     output,
-    view::Scene, //
+    view::PlacementContext, //
 };
 
 /// `Choice` is where the request goes first.
@@ -74,7 +74,7 @@
     /// Makes the explanation of a ranking.
     pub(super) fn new(
         config: &Config,
-        scene: &Scene,
+        scene: &PlacementContext,
         subject: &Subject,
         ranked: &[Placed],
         seed: u64,
--- a/crates/toucanturn/src/view.rs
+++ b/crates/toucanturn/src/view.rs
@@ -11,7 +11,7 @@
     },
     config::Config,
     ids::Id,
-    load::Table,
+    load::LoadTable,
     membership::{
         self,
         Observation,
@@ -81,25 +81,25 @@
     pub(crate) endpoints: Vec<Endpoint>,
 }
 
-/// `Scene` is a view in the core's own types.
+/// `PlacementContext` is a view in the core's own types.
 #[derive(Debug)]
-pub(crate) struct Scene {
+pub(crate) struct PlacementContext {
     /// States.
     pub(crate) view: membership::View,
     /// Loads.
-    pub(crate) loads: Table,
+    pub(crate) loads: LoadTable,
     /// When it is looked at.
     pub(crate) now: Time,
 }
 
-impl Scene {
+impl PlacementContext {
     /// Makes the scene of a view at the router `me`; without a view, every endpoint is live and
     /// idle. An endpoint that the view lacks stays what the core makes of one that it never heard
     /// of.
     pub(crate) fn new(config: &Config, me: Option<RouterKey>, view: Option<&View>) -> Result<Self> {
         let mut scene = Self {
             view: membership::View::default(),
-            loads: Table::default(),
+            loads: LoadTable::default(),
             now: NOW,
         };
         scene.view.apply(NOW, config);
@@ -124,7 +124,7 @@
             }
         }
         // The requests are known to the other routers, too: what is new to them is bounded.
-        scene.loads.shared();
+        scene.loads.mark_announced();
         scene.loads.refresh(NOW, &scene.view);
         Ok(scene)
     }
