--- a/crates/core/examples/measure_retry.rs
+++ b/crates/core/examples/measure_retry.rs
@@ -16,8 +16,8 @@
     request::Code,
     retry::{
         self,
-        Budget,
-        Cause, //
+        RefusalCause, //
+        RetryBudget,
     },
     units::Millis,
 };
@@ -58,7 +58,7 @@
     for share in [0.01, 0.05, 0.1, 0.3, 1.0] {
         let none = calls(share, || (), || false);
         let three = calls(share, || (), || true);
-        let budget = std::cell::RefCell::new(Budget::default());
+        let budget = std::cell::RefCell::new(RetryBudget::default());
         let budgeted = calls(
             share,
             || budget.borrow_mut().first(&policy),
@@ -71,24 +71,24 @@
 }
 
 /// Gives the most returns within 50 ms, when ten thousand callers are refused together.
-fn peak(mut after: impl FnMut(&mut StdRng) -> Millis) -> u32 {
+fn peak(mut retry_after: impl FnMut(&mut StdRng) -> Millis) -> u32 {
     let mut rng = StdRng::seed_from_u64(1);
     let mut bins = vec![0u32; 400];
     for _ in 0..10_000 {
-        let bin = usize::try_from(after(&mut rng).0 / 50).unwrap_or(usize::MAX);
+        let bin = usize::try_from(retry_after(&mut rng).0 / 50).unwrap_or(usize::MAX);
         bins[bin.min(399)] += 1;
     }
     bins.into_iter().max().unwrap_or(0)
 }
 
 fn returns() {
-    let cause = Cause {
+    let cause = RefusalCause {
         code: Code::Overloaded,
-        least: Millis(1000),
+        min_wait: Millis(1000),
     };
     let fixed = peak(|_| Millis(1000));
     let tenth = peak(|rng| Millis(rng.random_range(900..=1100)));
-    let chosen = peak(|rng| retry::after(cause, rng));
+    let chosen = peak(|rng| retry::retry_after(cause, rng));
     println!(
         "returns of 10,000 refused callers, most in 50 ms: fixed {fixed}; a tenth of jitter \
          {tenth}; spread (chosen) {chosen}"
--- a/crates/core/src/node/calls.rs
+++ b/crates/core/src/node/calls.rs
@@ -161,7 +161,7 @@
         let others = others.map(|o| o.request.workspace);
         match self.gate.admit(scene, &open.request, others, &mut self.rng) {
             overload::Verdict::Admit => None,
-            overload::Verdict::Late => Some(Refusal::not_run(Code::Deadline, None)),
+            overload::Verdict::DeadlineUnreachable => Some(Refusal::not_run(Code::Deadline, None)),
             overload::Verdict::Shed { retry_after } => {
                 Some(Refusal::not_run(Code::Overloaded, Some(retry_after)))
             }
--- a/crates/core/src/node/completion.rs
+++ b/crates/core/src/node/completion.rs
@@ -113,7 +113,7 @@
             now.mono,
             request.deadline,
         );
-        let backoff = retry::pause(attempts, &mut self.rng);
+        let backoff = retry::backoff(attempts, &mut self.rng);
         let in_time = now.mono + backoff < request.deadline;
         let retried = may_retry && in_time && self.budget.take();
         out.push(Action::Log(Decision::AttemptFailed {
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -44,7 +44,7 @@
     },
     once::Home,
     orders::Orders,
-    overload::Gate,
+    overload::AdmissionController,
     place::{
         PlacementContext,
         moves::RecentChats, //
@@ -54,7 +54,7 @@
         Call,
         Request, //
     },
-    retry::Budget,
+    retry::RetryBudget,
     units::{
         Incarnation,
         Millis,
@@ -142,9 +142,9 @@
     loads: LoadTable,
     recent: RecentChats,
     limits: Limits,
-    gate: Gate,
+    gate: AdmissionController,
     home: Home,
-    budget: Budget,
+    budget: RetryBudget,
     orders: Orders,
     peers: SecondaryMap<RouterKey, Peer>,
     calls: IndexMap<Call, OpenCall>,
@@ -177,9 +177,9 @@
             loads: LoadTable::default(),
             recent: RecentChats::default(),
             limits: Limits::default(),
-            gate: Gate::default(),
+            gate: AdmissionController::default(),
             home,
-            budget: Budget::default(),
+            budget: RetryBudget::default(),
             orders: Orders::default(),
             peers: SecondaryMap::new(),
             calls: IndexMap::new(),
--- a/crates/core/src/node/retries.rs
+++ b/crates/core/src/node/retries.rs
@@ -71,9 +71,11 @@
             Outcome::NotRun if open.may_have_reached => Outcome::Unknown,
             other => other,
         };
-        let cause = |least| retry::Cause { code, least };
+        let cause = |min_wait| retry::RefusalCause { code, min_wait };
         let retry_after = match open.request.origin {
-            Origin::Caller => retry_after.map(|least| retry::after(cause(least), &mut self.rng)),
+            Origin::Caller => {
+                retry_after.map(|min_wait| retry::retry_after(cause(min_wait), &mut self.rng))
+            }
             Origin::Peer(_) => retry_after,
         };
         Refusal {
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,8 +1,8 @@
-//! Whether and when a failed attempt is followed by another, and when a refused caller comes back.
+//! Decides whether and when a failed attempt is retried, and when a refused caller should retry.
 //!
-//! Three bounds hold together: a call has a greatest number of attempts; a router's retries are a
-//! share of its first attempts ([`Budget`]), so that endpoints that fail are not buried by them;
-//! and what may not be repeated is sent again only when no byte of it left.
+//! Three rules bound retries: a call has a greatest number of attempts; a router's retries are a
+//! limited share of its first attempts ([`RetryBudget`]), so that they don't overload failing
+//! endpoints; and a request that may not be repeated is sent again only if no byte of it left.
 
 use rand::{
     Rng,
@@ -22,49 +22,53 @@
     },
 };
 
-/// Most retries that can be saved up.
-const MAX_SAVED: u64 = 10;
+/// Most retries that the budget can accumulate.
+const MAX_SAVED_RETRIES: u64 = 10;
 
-/// Longest wait before the second retry of a call; doubles with each further one.
-const BACKOFF: Millis = Millis(100);
+/// Longest wait before the second retry of a call; doubles with each further retry.
+const BACKOFF_BASE: Millis = Millis(100);
 
 /// Longest wait before any retry.
-const BACKOFF_MAX: Millis = Millis(2000);
+const MAX_BACKOFF: Millis = Millis(2000);
 
-/// Status codes of endpoints' errors that the same request meets elsewhere, too (RFC 9110,
-/// sections 15.6.2 and 15.6.6): not implemented, and HTTP version not supported.
-const FINAL: [u16; 2] = [501, 505];
+/// Statuses that the same request would get from every endpoint (RFC 9110, sections 15.6.2 and
+/// 15.6.6): not implemented, and HTTP version not supported.
+const NON_RETRYABLE_STATUSES: [u16; 2] = [501, 505];
 
-/// `Budget` bounds retries to a share of first attempts (amplification).
+/// `RetryBudget` bounds a router's retries to a share of its first attempts.
 ///
 /// # Invariants
 ///
-/// It starts empty and grows with first attempts only, so at any time retries are at most
-/// [`Policy::retry_budget`] of them: with a tenth, 1.1 attempts a call when all endpoints fail.
+/// It starts empty and grows only with first attempts, so retries never exceed the share
+/// [`Policy::retry_budget`] of them: with a tenth, calls make at most 1.1 attempts on average when
+/// all endpoints fail.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Budget {
-    milli: u64,
+pub struct RetryBudget {
+    // Saved retries in thousandths.
+    milli_retries: u64,
 }
 
-impl Budget {
-    /// Notes a first attempt.
+impl RetryBudget {
+    /// Adds the share of a first attempt.
     pub fn first(&mut self, policy: &Policy) {
-        let grown = self.milli.saturating_add(u64::from(policy.retry_budget.0));
-        self.milli = grown.min(MAX_SAVED * 1000);
+        let grown = self
+            .milli_retries
+            .saturating_add(u64::from(policy.retry_budget.0));
+        self.milli_retries = grown.min(MAX_SAVED_RETRIES * 1000);
     }
 
-    /// Takes one retry out of the budget.
+    /// Takes one retry from the budget; false when it has none left.
     pub fn take(&mut self) -> bool {
-        let enough = self.milli >= 1000;
+        let enough = self.milli_retries >= 1000;
         if enough {
-            self.milli -= 1000;
+            self.milli_retries -= 1000;
         }
         enough
     }
 }
 
-/// Tells whether the rules allow another attempt after `end`, the budget aside. A call that runs
-/// once is sent again only when no byte of it left.
+/// Tells whether the rules other than the budget allow another attempt after `end`. A call that
+/// runs at most once is sent again only if no byte of it left.
 pub fn allowed(
     policy: &Policy,
     work: &Work,
@@ -85,44 +89,45 @@
         End::Whole(_) | End::Cancelled => false,
         End::NotSent { .. } => true,
         End::Broken { relayed } => repeatable && !relayed,
-        End::Failed(answer) => repeatable && !FINAL.contains(&answer.status),
+        End::Failed(answer) => repeatable && !NON_RETRYABLE_STATUSES.contains(&answer.status),
     }
 }
 
 /// Gets how long to wait before the attempt that follows `attempts` failed ones. The first retry
-/// goes to another endpoint at once; later ones wait a random time ("full jitter"), as by then the
-/// fault is not one endpoint's and all calls meet it together.
-pub fn pause(attempts: u32, rng: &mut impl Rng) -> Millis {
+/// goes to another endpoint at once. Later ones wait a random time ("full jitter"), as the fault is
+/// then hardly that of one endpoint, and all calls meet it at the same time.
+pub fn backoff(attempts: u32, rng: &mut impl Rng) -> Millis {
     let Some(doublings) = attempts.checked_sub(2) else {
         return Millis(0);
     };
-    let longest = (BACKOFF.0 << doublings.min(16)).min(BACKOFF_MAX.0);
+    let longest = (BACKOFF_BASE.0 << doublings.min(16)).min(MAX_BACKOFF.0);
     Millis(rng.random_range(0..=longest))
 }
 
-/// `Cause` is why a caller is refused.
+/// `RefusalCause` is the reason for which a caller is refused, and the time until it passes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Cause {
-    /// The code it gets.
+pub struct RefusalCause {
+    /// Code that the caller gets.
     pub code: Code,
-    /// Time before which coming back is of no use.
-    pub least: Millis,
+    /// Time before which a retry would be refused again.
+    pub min_wait: Millis,
 }
 
-/// Gets when a refused caller should come back: not before `cause.least`, and spread evenly over a
-/// time as long as the cause lasts, so that those who were refused together don't return together.
-pub fn after(cause: Cause, rng: &mut impl Rng) -> Millis {
-    let spread = cause.least.0.max(spread(cause.code).0);
-    let late = rng.random_range(0..=spread);
-    Millis(cause.least.0.saturating_add(late))
+/// Gets the time after which a refused caller should retry: at least `cause.min_wait`, plus a
+/// random part of a time that is at least as long, so that callers that were refused together don't
+/// retry together.
+pub fn retry_after(cause: RefusalCause, rng: &mut impl Rng) -> Millis {
+    let spread = cause.min_wait.0.max(min_spread(cause.code).0);
+    let jitter = rng.random_range(0..=spread);
+    Millis(cause.min_wait.0.saturating_add(jitter))
 }
 
-/// Gets the shortest time over which the returns of callers are spread.
-const fn spread(code: Code) -> Millis {
+/// Gets the shortest time over which the retries of callers are spread.
+const fn min_spread(code: Code) -> Millis {
     match code {
-        // The balancer sends it elsewhere.
+        // The load balancer sends the retry to another router.
         Code::Draining => Millis(200),
-        // One key, one caller: nobody else returns with it.
+        // Only one caller uses a key, so its retry meets no others.
         Code::KeyInProgress => Millis(100),
         // All callers of a workspace or of the fleet are refused at once.
         Code::OverLimit | Code::Overloaded | Code::NoEndpoint | Code::KeysFull => Millis(2000),
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -169,7 +169,7 @@
     // Symptom: pharmacists open without safety flags, or chats wait seconds for a first token.
     // Sequence: a batch of checks competes with chat all night.
     // Cause: a batch that is always last stalls; one that is never last fills the engines.
-    let night = night(Guard::Gate, Millis(1_200_000));
+    let night = night(Guard::AdmissionController, Millis(1_200_000));
     expect_that!(night.done, eq(night.size));
     // A chat that is shed misses the goal too. Those at work at the end are not counted.
     expect_that!(night.chat.0 * 100, ge(night.chat.1 * 95));
@@ -181,7 +181,13 @@
     // Sequence: three priorities together send one and a half times what the pool takes.
     // Cause: refusals that don't look at the priority.
     let priorities = [chat(2), chat(5), chat(8)];
-    let mut pool = Pool::new(ROUTERS, ENGINES, CAPACITY, &priorities, Guard::Gate);
+    let mut pool = Pool::new(
+        ROUTERS,
+        ENGINES,
+        CAPACITY,
+        &priorities,
+        Guard::AdmissionController,
+    );
     let rates = [rate(0.5); 3];
     run(&mut pool, Millis(20_000), &rates);
     let (came, taken) = run(&mut pool, Millis(40_000), &rates);
@@ -196,7 +202,7 @@
     // Symptom: waves of requests after an overload.
     // Sequence: thousands of requests are shed within a second.
     // Cause: one and the same `Retry-After`.
-    let (pool, _, _) = surged(Guard::Gate, 20.0);
+    let (pool, _, _) = surged(Guard::AdmissionController, 20.0);
     let after = |verdict: &Verdict| match verdict {
         Verdict::Shed { retry_after } => Some(retry_after.0),
         _ => None,
@@ -226,21 +232,21 @@
         pool.request(0, 0, Millis(SERVICE));
     }
     run(&mut pool, Millis(SERVICE + 1000), &[]);
-    pool.guard = Guard::Gate;
+    pool.guard = Guard::AdmissionController;
     let deadline = pool.now + Millis(1000);
     expect_that!(
         pool.request_until(0, 0, Millis(SERVICE), deadline),
         eq(false)
     );
     let verdict = pool.shed.last().map(|s| s.2);
-    expect_that!(verdict, some(eq(Verdict::Late)));
+    expect_that!(verdict, some(eq(Verdict::DeadlineUnreachable)));
     let deadline = pool.now + Millis(60_000);
     expect_that!(
         pool.request_until(0, 0, Millis(SERVICE), deadline),
         eq(false)
     );
     let verdict = pool.shed.last().map(|s| s.2);
-    expect_that!(verdict, not(some(eq(Verdict::Late))));
+    expect_that!(verdict, not(some(eq(Verdict::DeadlineUnreachable))));
 }
 
 #[gtest]
@@ -249,9 +255,9 @@
     // Sequence: one workspace of the same priority sends up to twenty times what all engines take.
     // Cause: engines fill with the surge, and the others' requests queue behind it.
     let from = Time(20_000);
-    let (calm, _, _) = surged(Guard::Gate, 0.0);
+    let (calm, _, _) = surged(Guard::AdmissionController, 0.0);
     for surge in [1.0, 5.0, 20.0] {
-        let (pool, came, taken) = surged(Guard::Gate, surge);
+        let (pool, came, taken) = surged(Guard::AdmissionController, surge);
         for quiet in 0..4 {
             let (before, after) = (calm.p99(quiet, from), pool.p99(quiet, from));
             println!("surge {surge}: p99 of {quiet} {before:?} -> {after:?}");
--- a/crates/core/tests/overload_pool/mod.rs
+++ b/crates/core/tests/overload_pool/mod.rs
@@ -28,7 +28,7 @@
     load::LoadTable,
     membership::View,
     overload::{
-        Gate,
+        AdmissionController,
         Verdict, //
     },
     peer::{
@@ -67,7 +67,7 @@
     /// Nothing.
     None,
     /// The gate.
-    Gate,
+    AdmissionController,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -88,7 +88,7 @@
 }
 
 struct Router {
-    gate: Gate,
+    gate: AdmissionController,
     loads: LoadTable,
     open: Vec<WorkspaceKey>,
 }
@@ -134,7 +134,7 @@
         let id = |text: String| Id::try_from(text.as_str()).expect("a good name");
         let member = |i| config.fleet.key(&id(format!("r{i}"))).expect("published");
         let router = |i| {
-            let mut gate = Gate::default();
+            let mut gate = AdmissionController::default();
             gate.apply(&config, Some(member(i)));
             let mut loads = LoadTable::default();
             loads.apply(&config, Some(member(i)));
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -40,8 +40,8 @@
     },
     retry::{
         self,
-        Budget,
-        Cause, //
+        RefusalCause, //
+        RetryBudget,
     },
     units::{
         Incarnation,
@@ -121,7 +121,7 @@
             retry_budget: Permille(share),
             ..Policy::default()
         };
-        let (mut budget, mut firsts, mut retries) = (Budget::default(), 0u64, 0u64);
+        let (mut budget, mut firsts, mut retries) = (RetryBudget::default(), 0u64, 0u64);
         for _ in 0..2000 {
             if rand::RngExt::random_bool(&mut rng, 0.5) {
                 budget.first(&policy);
@@ -141,12 +141,12 @@
 #[googletest::test]
 fn verify_later_retries_wait_longer_and_apart() {
     let mut rng = StdRng::seed_from_u64(1);
-    expect_that!(retry::pause(1, &mut rng), eq(Millis(0)));
-    let waits: Vec<_> = (0..500).map(|_| retry::pause(2, &mut rng).0).collect();
+    expect_that!(retry::backoff(1, &mut rng), eq(Millis(0)));
+    let waits: Vec<_> = (0..500).map(|_| retry::backoff(2, &mut rng).0).collect();
     expect_that!(waits.iter().max(), some(le(&100)));
     let distinct: std::collections::BTreeSet<_> = waits.iter().collect();
     expect_that!(distinct.len(), gt(80));
-    let longest = (0..500).map(|_| retry::pause(u32::MAX, &mut rng)).max();
+    let longest = (0..500).map(|_| retry::backoff(u32::MAX, &mut rng)).max();
     expect_that!(longest, some(le(Millis(2000))));
 }
 
@@ -155,13 +155,13 @@
     // Symptom: each second the router was overrun anew. Sequence: it refuses a thousand callers at
     // once, all with the same Retry-After, and they return together. Cause: one fixed time.
     let mut rng = StdRng::seed_from_u64(1);
-    let (code, least) = (Code::Overloaded, Millis(1000));
-    let cause = Cause { code, least };
+    let (code, min_wait) = (Code::Overloaded, Millis(1000));
+    let cause = RefusalCause { code, min_wait };
     let mut bins = [0; 60];
     for _ in 0..1000 {
-        let after = retry::after(cause, &mut rng);
-        expect_that!(after, ge(least));
-        bins[usize::try_from(after.0 / 50).unwrap_or(59).min(59)] += 1;
+        let retry_after = retry::retry_after(cause, &mut rng);
+        expect_that!(retry_after, ge(min_wait));
+        bins[usize::try_from(retry_after.0 / 50).unwrap_or(59).min(59)] += 1;
     }
     expect_that!(bins.iter().max(), some(le(&50)));
 }
