--- a/crates/core/src/action.rs
+++ b/crates/core/src/action.rs
@@ -1,4 +1,4 @@
-//! What a node wants done.
+//! Actions that a node requests of its driver, and the lines of its decision log.
 
 use crate::{
     arena::{
@@ -31,7 +31,7 @@
     },
 };
 
-/// `Action` is one thing for the driver to do.
+/// `Action` is an action for the driver to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the call to an endpoint.
@@ -40,31 +40,31 @@
         call: Call,
         /// The attempt.
         attempt: Attempt,
-        /// Where.
+        /// The endpoint.
         endpoint: EndpointKey,
-        /// When the answer must be whole.
+        /// Time by which the answer must be complete.
         deadline: Time,
-        /// Time without progress after which the attempt is broken.
+        /// Time without progress after which the attempt counts as broken.
         idle: Millis,
-        /// Placement token to hand to the caller with the answer.
+        /// Placement token for the caller, sent with the answer.
         token: Option<Token>,
-        /// For a call that runs at most once: the end of the home's lease. The driver reads the
-        /// clock right before it writes the first byte and, from this time on, writes nothing and
+        /// For a call that runs at most once, the end of the home's lease. The driver reads the
+        /// clock right before it writes the first byte. From this time on, it writes nothing and
         /// reports [`End::NotSent`](crate::request::End::NotSent): a process that was paused must
-        /// not send what another home may meanwhile answer for.
+        /// not send a call for whose key another router may be the home by now.
         not_after: Option<Time>,
     },
-    /// Have an engine import a prefix's KV cache from another engine. It is advice: where it fails,
-    /// the prompt is computed again.
+    /// Have an engine import a prefix's KV cache from another engine. It is an optimization only:
+    /// where it fails, the engine computes the prompt again.
     Import {
-        /// The call that waits for it, whose dispatch follows; `None` for a chat that is to move
-        /// before it returns.
+        /// The call that waits for the import, whose dispatch follows; `None` for a chat that is
+        /// moved before it returns.
         call: Option<Call>,
         /// The prefix.
         prefix: Prefix,
-        /// Engine that holds it.
+        /// Engine that holds the prefix.
         from: EndpointKey,
-        /// Engine that is to hold it.
+        /// Engine that imports it.
         to: EndpointKey,
     },
     /// Send the call to its home router.
@@ -73,31 +73,31 @@
         call: Call,
         /// The home.
         router: RouterKey,
-        /// When the answer must be back.
+        /// Time by which the answer must be back.
         deadline: Time,
     },
-    /// Give the final answer: a refusal.
+    /// End the call with a refusal.
     Refuse {
         /// The call.
         call: Call,
-        /// Why.
+        /// The refusal.
         refusal: Refusal,
     },
-    /// Give the final answer: an earlier one of the same key.
+    /// End the call with the stored answer to an earlier call of the same key.
     Replay {
         /// The call.
         call: Call,
-        /// The first answer.
+        /// The stored answer.
         answer: Answer,
     },
-    /// Give the final answer: the one that the endpoint gave and the driver holds.
+    /// End the call with the endpoint's answer, which the driver holds.
     Finish {
         /// The call.
         call: Call,
-        /// What to tell the caller.
+        /// Outcome to report to the caller.
         outcome: Outcome,
     },
-    /// End an attempt at its endpoint; its answer is no longer wanted.
+    /// Cancel an attempt at its endpoint, as its answer is no longer needed.
     Cancel {
         /// The call.
         call: Call,
@@ -106,9 +106,9 @@
     },
     /// Send a message to a peer.
     Send {
-        /// To whom.
+        /// The peer.
         router: RouterKey,
-        /// What.
+        /// The message.
         message: peer::Message,
     },
     /// Poll an endpoint's load report.
@@ -121,46 +121,46 @@
         /// The endpoint.
         endpoint: EndpointKey,
     },
-    /// Read the configuration service from a revision on, and wait there.
+    /// Read the configuration changes after a revision, and wait for further ones.
     Watch {
-        /// The revision held.
+        /// Revision that the node holds.
         since: Revision,
     },
     /// Read the platform's list of VMs.
     ReadVms,
-    /// Ask the weight store for the token of a load.
+    /// Ask the weight store for a token that permits a load.
     AskWeights {
         /// The engine that is to load.
         endpoint: EndpointKey,
         /// Number of the question.
         number: Number,
-        /// What is to be loaded.
+        /// The change for which the engine loads weights.
         change: Change,
     },
-    /// Give an engine an order. Right before the first byte the driver looks whether the time is
-    /// before `not_after` and the order's revision still in force; otherwise it writes nothing and
-    /// reports [`Reply::NotSent`].
+    /// Send an order to an engine. Right before the first byte, the driver checks that the time is
+    /// before `not_after` and that the order's revision is still in force. Otherwise it writes
+    /// nothing and reports [`Reply::NotSent`].
     Order {
         /// The engine.
         endpoint: EndpointKey,
         /// The order.
         order: Order,
     },
-    /// A new configuration is in force.
+    /// Apply a new configuration, which is now in force.
     Apply {
-        /// Its revision.
+        /// Revision of the configuration.
         revision: Revision,
     },
-    /// The drain is over; the process may end.
+    /// The drain is complete; the process may exit.
     Exit {
-        /// Calls that were cut off.
+        /// Number of calls that were aborted.
         cut: usize,
     },
     /// Write a line to the decision log.
     Log(Decision),
 }
 
-/// `Decision` is one line of the decision log. docs/EVENTS.md is the catalogue.
+/// `Decision` is one line of the decision log. docs/EVENTS.md describes the events.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// A request was placed.
@@ -169,9 +169,9 @@
         call: Call,
         /// The attempt.
         attempt: Attempt,
-        /// Its workspace.
+        /// Workspace of the call.
         workspace: WorkspaceKey,
-        /// Where and why.
+        /// The chosen endpoint, and why it was chosen.
         placed: Placed,
         /// Requests in progress there, as estimated.
         load: u32,
@@ -182,21 +182,21 @@
     Refused {
         /// The call.
         call: Call,
-        /// Its workspace.
+        /// Workspace of the call.
         workspace: WorkspaceKey,
-        /// Why.
+        /// The refusal.
         refusal: Refusal,
         /// Age of the view.
         view_age: Millis,
     },
-    /// A call that runs once was sent to its home.
+    /// A call that runs at most once was forwarded to its home.
     Forwarded {
         /// The call.
         call: Call,
         /// The home.
         router: RouterKey,
     },
-    /// A repeated key got its first answer.
+    /// A call with a repeated key was answered with the stored answer.
     Replayed {
         /// The call.
         call: Call,
@@ -207,7 +207,7 @@
         call: Call,
         /// The attempt.
         attempt: Attempt,
-        /// Where.
+        /// The endpoint.
         endpoint: EndpointKey,
         /// Whether another attempt follows.
         retried: bool,
@@ -216,9 +216,9 @@
     Done {
         /// The call.
         call: Call,
-        /// Outcome told.
+        /// Outcome reported to the caller.
         outcome: Outcome,
-        /// Attempts made.
+        /// Number of attempts.
         attempts: u32,
     },
     /// An endpoint's state changed in this router's view.
@@ -228,49 +228,49 @@
         /// The new state.
         state: crate::membership::State,
     },
-    /// An engine is given an order.
+    /// An order is sent to an engine.
     Ordered {
         /// The engine.
         endpoint: EndpointKey,
         /// The order.
         order: Order,
     },
-    /// An engine needs an order and gets none now.
+    /// An engine needs an order, but none is sent now.
     OrderHeld {
         /// The engine.
         endpoint: EndpointKey,
-        /// Why.
+        /// Why none is sent.
         hold: Hold,
     },
-    /// An order was answered, or will not be.
+    /// An order was answered, or will not be answered any more.
     OrderEnded {
         /// The engine.
         endpoint: EndpointKey,
-        /// What came of it.
+        /// The engine's reply, or why there is none.
         reply: Reply,
     },
     /// A configuration was put in force.
     Applied {
-        /// Its revision.
+        /// Revision of the configuration.
         revision: Revision,
     },
-    /// A configuration was refused; the old one stays in force.
+    /// A configuration was rejected; the old one stays in force.
     Rejected {
-        /// Its revision.
+        /// Revision of the configuration.
         revision: Revision,
-        /// Errors found, one a line: JSON path, value and what was expected.
+        /// Errors, one on each line: JSON path, value and what was expected.
         errors: String,
     },
-    /// A home's lease began or ended.
+    /// This router's lease as a home began or ended.
     Lease {
-        /// Fleet epoch.
+        /// Fleet epoch of the lease.
         epoch: Revision,
-        /// Whether it is held now.
+        /// Whether this router holds the lease now.
         held: bool,
     },
     /// The drain began.
     Draining {
-        /// Calls in progress.
+        /// Number of calls in progress.
         open: usize,
     },
 }
--- a/crates/core/src/arena.rs
+++ b/crates/core/src/arena.rs
@@ -1,4 +1,4 @@
-//! Arenas of configured things: small `Copy` keys that stay the same over revisions, with look-up
+//! Arenas of configured objects: small `Copy` keys that stay the same over revisions, with look-up
 //! by name and by tag.
 
 use std::sync::Arc;
@@ -16,19 +16,19 @@
 };
 
 new_key_type! {
-    /// `RouterKey` names a router of the published fleet.
+    /// `RouterKey` identifies a router of the published fleet.
     pub struct RouterKey;
-    /// `EndpointKey` names an endpoint.
+    /// `EndpointKey` identifies an endpoint.
     pub struct EndpointKey;
-    /// `ServiceKey` names a plain service.
+    /// `ServiceKey` identifies a plain service.
     pub struct ServiceKey;
-    /// `ModelKey` names a model.
+    /// `ModelKey` identifies a model.
     pub struct ModelKey;
-    /// `WorkspaceKey` names a workspace.
+    /// `WorkspaceKey` identifies a workspace.
     pub struct WorkspaceKey;
 }
 
-/// `Arena` holds the things of one kind. Cloning copies the tables and shares the things.
+/// `Arena` holds the objects of one kind. Cloning copies the tables and shares the objects.
 #[derive(Clone, Debug)]
 pub struct Arena<K: Key, V> {
     slots: SlotMap<K, Arc<V>>,
@@ -47,7 +47,7 @@
 }
 
 impl<K: Key, V> Arena<K, V> {
-    /// Puts a thing in, in the place of an older one of the same name, whose key it keeps.
+    /// Inserts an object. It replaces an older one of the same name and keeps that one's key.
     pub fn put(&mut self, id: &Id, value: Arc<V>) -> K {
         if let Some(&key) = self.names.get(id) {
             self.slots[key] = value;
@@ -59,7 +59,7 @@
         key
     }
 
-    /// Takes the thing of this name out.
+    /// Removes the object of this name.
     pub fn remove(&mut self, id: &Id) -> Option<Arc<V>> {
         let key = self.names.swap_remove(id)?;
         if self.tags.get(&id.tag()) == Some(&key) {
@@ -68,7 +68,7 @@
         self.slots.remove(key)
     }
 
-    /// Gets a thing by key; `None` once it was taken out.
+    /// Gets an object by key; `None` after its removal.
     pub fn get(&self, key: K) -> Option<&Arc<V>> {
         self.slots.get(key)
     }
@@ -83,7 +83,7 @@
         self.tags.get(&tag).copied()
     }
 
-    /// Iterates over keys and things.
+    /// Iterates over keys and objects.
     pub fn iter(&self) -> impl Iterator<Item = (K, &Arc<V>)> {
         self.slots.iter()
     }
@@ -93,12 +93,12 @@
         self.names.iter().map(|(id, key)| (id, *key))
     }
 
-    /// Gets the number of things.
+    /// Gets the number of objects.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Tells whether there are none.
+    /// Tells whether there are no objects.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
--- a/crates/core/src/chat.rs
+++ b/crates/core/src/chat.rs
@@ -10,15 +10,15 @@
     request::Prefix, //
 };
 
-/// `Chat` is a chat-completions request; fields that routing does not need are left alone.
+/// `Chat` is a chat-completions request; fields that routing does not need are ignored.
 #[derive(Debug, Deserialize)]
 pub struct Chat<'a> {
-    /// Model asked for.
+    /// Requested model.
     pub model: Cow<'a, str>,
-    /// Whether the answer shall come as events; null is as absent.
+    /// Whether the answer is to be a stream of events; null counts as absent.
     #[serde(default)]
     pub stream: Option<bool>,
-    /// The messages as they were written.
+    /// The messages as raw JSON.
     #[serde(borrow)]
     pub messages: Vec<&'a RawValue>,
 }
@@ -30,14 +30,15 @@
 }
 
 impl Chat<'_> {
-    /// Gets the chat's prefix. A chat that returns with a placement token keeps the token's.
+    /// Gets the prefix of a chat that comes without a placement token; a token names the prefix
+    /// itself.
     pub fn prefix(&self, workspace: Tag) -> Prefix {
         prefix(workspace, &self.model, &self.messages)
     }
 }
 
-/// Hashes the part of a chat that stays when it returns: the model and all messages up to the first
-/// one of the user.
+/// Hashes the part of a chat that is the same in all its requests: the model and all messages up to
+/// the user's first one.
 pub fn prefix(workspace: Tag, model: &str, messages: &[&RawValue]) -> Prefix {
     let mut hash = xxhash_rust::xxh3::Xxh3::with_seed(u64::from(workspace.0));
     hash.update(model.as_bytes());
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -1,4 +1,4 @@
-//! What can happen to a node.
+//! Events that a node handles.
 
 use std::sync::Arc;
 
@@ -29,34 +29,34 @@
     },
 };
 
-/// `Report` is an endpoint's own load report.
+/// `Report` is an endpoint's load report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
-    /// Its life.
+    /// Incarnation of the endpoint.
     pub incarnation: Incarnation,
     /// Age of the figures.
     pub age: Millis,
-    /// Requests in progress there from all routers.
+    /// Requests of all routers in progress there.
     pub in_flight: u32,
-    /// Requests waiting there.
+    /// Requests queued there.
     pub queued: u32,
-    /// Whether it is leaving.
+    /// Whether the endpoint is leaving.
     pub leaving: bool,
-    /// What it holds, where it says.
+    /// Models, adapters and version that it has loaded, if it reports them.
     pub loaded: Option<Arc<Loaded>>,
 }
 
-/// `VmState` is a VM's state in the platform's list.
+/// `VmState` is the state of a VM in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
 pub enum VmState {
     /// In service.
     Live,
-    /// About to go.
+    /// About to be taken out of service.
     Leaving,
 }
 
-/// `Source` says who brought a configuration change.
+/// `Source` tells where a configuration change came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The configuration service.
@@ -65,27 +65,27 @@
     Peer(RouterKey),
 }
 
-/// `Event` is one thing that happened.
+/// `Event` is an event that the driver reports to the node.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A request passed authentication and classification.
     Request {
-        /// Its number.
+        /// The number that the driver gave the request.
         call: Call,
         /// The request.
         request: Request,
     },
-    /// An attempt's answer has begun.
+    /// The head of an attempt's answer arrived.
     Head {
         /// The call.
         call: Call,
         /// The attempt.
         attempt: Attempt,
-        /// Requests in progress that the endpoint stated.
+        /// Requests in progress at the endpoint, if it states them.
         in_flight: Option<u32>,
-        /// Whether the endpoint says that it is leaving.
+        /// Whether the endpoint states that it is leaving.
         leaving: bool,
-        /// The endpoint's life, where it says.
+        /// Incarnation of the endpoint, if it states it.
         incarnation: Option<Incarnation>,
     },
     /// An attempt ended.
@@ -94,49 +94,49 @@
         call: Call,
         /// The attempt.
         attempt: Attempt,
-        /// How.
+        /// How it ended.
         end: End,
     },
-    /// A call that was forwarded to its home could not be brought there or back.
+    /// A call could not be forwarded to its home, or its answer did not come back.
     ForwardFailed {
         /// The call.
         call: Call,
-        /// Whether bytes of it may have left.
+        /// Whether bytes of the call may have left.
         sent: bool,
     },
-    /// A forwarded call's answer came back (the driver relays it).
+    /// The answer to a forwarded call came back; the driver relays it.
     ForwardDone {
         /// The call.
         call: Call,
-        /// What the home says became of the action.
+        /// Outcome that the home reported.
         outcome: Outcome,
-        /// The home's refusal, if it was one.
+        /// The home's refusal, if it refused the call.
         refusal: Option<Refusal>,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     Gone {
         /// The call.
         call: Call,
     },
-    /// An endpoint's load report was polled; `None` when the poll failed.
+    /// The poll of an endpoint's load report ended.
     Polled {
         /// The endpoint.
         endpoint: EndpointKey,
-        /// The report.
+        /// The report; `None` when the poll failed.
         report: Option<Report>,
     },
     /// A probe on a new connection ended.
     Probed {
         /// The endpoint.
         endpoint: EndpointKey,
-        /// Whether it answered.
+        /// Whether the endpoint answered.
         answered: bool,
     },
-    /// A peer's message, authenticated.
+    /// An authenticated message of a peer arrived.
     Peer {
         /// The sender.
         from: RouterKey,
-        /// The sender's life.
+        /// Incarnation of the sender.
         incarnation: Incarnation,
         /// The message.
         message: peer::Message,
@@ -146,52 +146,52 @@
         /// The peer.
         router: RouterKey,
     },
-    /// The configuration service or a peer brought a change.
+    /// A configuration change arrived from the configuration service or a peer.
     Publish {
-        /// Who brought it.
+        /// Where the change came from.
         source: Source,
         /// The change.
         change: peer::Change,
     },
-    /// The configuration service was read in vain.
+    /// A read of the configuration service failed.
     ReadFailed,
-    /// The platform's list of VMs.
+    /// The platform's list of VMs was read.
     Vms {
-        /// Age of the list by its own word.
+        /// Age of the list, as the list states it.
         age: Millis,
-        /// States by name.
+        /// Names and states of the VMs.
         vms: Vec<(Id, VmState)>,
     },
-    /// Cache events of an engine.
+    /// An engine reported changes of its prefix cache.
     Cache {
         /// The engine.
         endpoint: EndpointKey,
-        /// Prefixes and whether they are stored now.
+        /// Prefixes, and whether the engine now holds them.
         prefixes: Vec<(crate::request::Prefix, bool)>,
     },
-    /// The weight store answered, or did not.
+    /// A question to the weight store ended.
     Weights {
         /// The engine that is to load.
         endpoint: EndpointKey,
         /// Number of the question.
         number: Number,
-        /// The answer.
+        /// The weight store's answer, or why there is none.
         grant: Grant,
     },
-    /// An order was answered, or will not be.
+    /// An order was answered, or will not be answered any more.
     OrderEnded {
         /// The engine.
         endpoint: EndpointKey,
-        /// The order's number.
+        /// Number of the order.
         number: Number,
-        /// What came of it.
+        /// The engine's reply, or why there is none.
         reply: Reply,
     },
-    /// Time has passed; the driver sends this every [`TICK`].
+    /// Regular tick, which the driver sends every [`TICK`].
     Tick,
-    /// The operator or a signal asked for a drain.
+    /// An operator or a signal requested a drain.
     Drain,
 }
 
-/// Time between two ticks.
+/// Interval between ticks.
 pub const TICK: Millis = Millis(50);
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names from configuration and the short tags that stand for them between routers.
+//! Names of configured objects, and the short tags that stand for them in messages between routers.
 
 use bytes::Bytes;
 use serde::{
@@ -10,19 +10,19 @@
 };
 use snafu::Snafu;
 
-/// Longest name in bytes.
-pub const MAX_LEN: usize = 63;
+/// Greatest length of a name in bytes.
+pub const MAX_ID_BYTES: usize = 63;
 
-/// `Error` says why a text is not an [`Id`].
+/// `Error` tells why a text is not a valid [`Id`].
 #[derive(Debug, Snafu, Clone, PartialEq, Eq)]
 pub enum Error {
     /// The text is empty or too long.
-    #[snafu(display("expected 1 to {MAX_LEN} bytes, found {found}"))]
+    #[snafu(display("expected 1 to {MAX_ID_BYTES} bytes, found {found}"))]
     Length {
         /// Bytes found.
         found: usize,
     },
-    /// The text has a byte that names don't have.
+    /// The text has a byte that is not allowed in a name.
     #[snafu(display(
         "expected a to z, 0 to 9, '.', '_' or '-' at byte {at}, first a letter or digit"
     ))]
@@ -32,7 +32,7 @@
     },
 }
 
-/// `Id` is a checked name: `[a-z0-9][a-z0-9._-]{0,62}`.
+/// `Id` is a validated name: `[a-z0-9][a-z0-9._-]{0,62}`.
 ///
 /// # Invariants
 ///
@@ -57,7 +57,7 @@
     type Error = Error;
 
     fn try_from(raw: Bytes) -> Result<Self, Error> {
-        if raw.is_empty() || raw.len() > MAX_LEN {
+        if raw.is_empty() || raw.len() > MAX_ID_BYTES {
             return LengthSnafu { found: raw.len() }.fail();
         }
         let plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit();
@@ -102,8 +102,8 @@
     }
 }
 
-/// `Tag` is a 32-bit hash of a name (XXH3). It stands for the name between routers; a
-/// configuration in which two names of one kind share a tag is refused.
+/// `Tag` is a 32-bit hash of a name (XXH3). It stands for the name in messages between routers. A
+/// configuration in which two names of the same kind have the same tag is refused.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,11 +1,11 @@
-//! The decisions of a toucanturn router, without I/O.
+//! The decision logic of a toucanturn router, without I/O.
 //!
-//! This crate takes events with the time they happened at and returns actions. It opens no socket,
-//! reads no clock and draws no random number of its own: the daemon, the tests, a recorded trace
-//! and a program that embeds it all drive the same code.
+//! This crate takes timestamped events and returns actions. It opens no sockets, reads no clock and
+//! has no source of randomness of its own, so that the daemon, the tests, the replay of a recorded
+//! trace and programs that embed the crate all drive the same code.
 //!
-//! Start at [`node::Node`]; the vocabulary is in [`event`] and [`action`], the published
-//! configuration in [`config`].
+//! Start at [`node::Node`]. The events are in [`event`], the actions in [`action`], and the
+//! published configuration in [`config`].
 
 #![forbid(unsafe_code)]
 
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between routers, in their typed form. The wire crate turns them into bytes.
+//! Messages between routers in typed form. The wire crate encodes and decodes them.
 
 use bytes::Bytes;
 
@@ -11,47 +11,47 @@
     },
 };
 
-/// `Load` is one endpoint's load as a peer knows it.
+/// `Load` is the number of requests that the sender of a summary has in progress at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
     /// The endpoint.
     pub endpoint: Tag,
-    /// Requests in progress that the sender has there.
+    /// Requests of the sender in progress there.
     pub in_flight: u32,
 }
 
-/// `Leaving` says that one life of an endpoint is leaving.
+/// `Leaving` tells that one incarnation of an endpoint is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Leaving {
     /// The endpoint.
     pub endpoint: Tag,
-    /// The life that leaves.
+    /// The incarnation that is leaving.
     pub incarnation: Incarnation,
 }
 
-/// `Report` is an endpoint's own load report, passed on by the router that polled it.
+/// `Report` is an endpoint's load report, passed on by the router that polled it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
     /// The endpoint.
     pub endpoint: Tag,
-    /// Its life.
+    /// Incarnation of the endpoint.
     pub incarnation: Incarnation,
-    /// Requests in progress there from all routers.
+    /// Requests of all routers in progress there.
     pub in_flight: u32,
-    /// Requests waiting there.
+    /// Requests queued there.
     pub queued: u32,
     /// Age of the figures when the message was made.
     pub age: Millis,
 }
 
-/// `Summary` is what a router tells its peers again and again.
+/// `Summary` is the state that a router sends its peers at regular intervals.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
     /// Configuration revision in force at the sender.
     pub revision: Revision,
     /// Revision of its fleet list.
     pub epoch: Revision,
-    /// Own requests in progress, endpoints with none left out.
+    /// Requests of the sender in progress at each endpoint that has any.
     pub loads: Vec<Load>,
     /// Endpoints that the sender knows to be leaving.
     pub leaving: Vec<Leaving>,
@@ -59,7 +59,7 @@
     pub reports: Vec<Report>,
 }
 
-/// `Entry` is one key of the published configuration.
+/// `Entry` is one key of the published configuration with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// Key, such as `workspaces/vitalbox-chat`.
@@ -70,15 +70,15 @@
     pub value: Option<Bytes>,
 }
 
-/// `Change` is all that the configuration service wrote after one revision up to another.
+/// `Change` holds all that the configuration service wrote after one revision up to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Change {
-    /// The revision after which it starts; zero for a whole snapshot.
+    /// Revision after which the change starts; zero for a full snapshot.
     pub since: Revision,
-    /// The revision it brings its reader to.
+    /// Revision that the reader has after applying the change.
     pub revision: Revision,
-    /// In a snapshot of a peer: the revision above which it names every deletion. `None`: it need
-    /// not name any, as in a snapshot of the configuration service.
+    /// In a peer's snapshot, the revision above which the snapshot lists every deletion. `None`
+    /// where it need not list deletions, as in a snapshot of the configuration service.
     pub floor: Option<Revision>,
     /// Entries in ascending revision.
     pub entries: Vec<Entry>,
@@ -87,22 +87,22 @@
 /// `Message` is one message between routers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// Load, membership and revision summary.
+    /// The sender's regular summary of load, membership and revisions.
     Summary(Summary),
-    /// Asks for the configuration after a revision.
+    /// Asks for the configuration changes after a revision.
     Pull {
-        /// The revision that the asker holds.
+        /// Revision that the sender holds.
         since: Revision,
     },
     /// Answers [`Message::Pull`].
     Push(Change),
-    /// Asks the workspace's home for requests to admit.
+    /// Asks the workspace's home router for a grant of requests to admit.
     Ask {
         /// The workspace.
         workspace: Tag,
-        /// Requests wanted, those that wait now included.
+        /// Requests wanted, including those that wait now.
         want: u32,
-        /// Number of the question; the answer carries it.
+        /// Number of the question, which the answer repeats.
         nonce: u64,
     },
     /// Answers [`Message::Ask`].
@@ -111,30 +111,31 @@
         workspace: Tag,
         /// Requests that may be admitted.
         granted: u32,
-        /// Time until more can be had, if fewer than wanted were granted.
+        /// Time until more can be granted, if fewer than wanted were granted.
         retry_after: Millis,
         /// Number of the question.
         nonce: u64,
     },
-    /// Asks a fleet member to confirm the sender's lease as a home.
+    /// Asks a member of the fleet to confirm the sender's lease as a home.
     LeaseAsk {
         /// Fleet epoch that the sender holds.
         epoch: Revision,
-        /// Number of the round.
+        /// Number of the voting round.
         round: u64,
-        /// Length of the lease; the voter keeps its promise at least that long.
+        /// Duration of the lease; the voter keeps its promise at least that long.
         lease: Millis,
     },
     /// Answers [`Message::LeaseAsk`].
     LeaseAnswer {
         /// Fleet epoch that the voter holds.
         epoch: Revision,
-        /// Number of the round.
+        /// Number of the voting round.
         round: u64,
-        /// Whether the voter confirms.
+        /// Whether the voter confirms the lease.
         confirmed: bool,
-        /// The epoch that the voter confirmed to anyone before this one, zero for none in this
-        /// life: shows the asker that no epoch in between was acted upon.
+        /// The epoch that the voter confirmed to any member before this one; zero if it confirmed
+        /// none in its present incarnation. It shows the sender of the question that no epoch in
+        /// between took effect.
         previous: Revision,
     },
 }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -1,4 +1,5 @@
-//! One request as the decisions see it, and the answers that a caller can get.
+//! A request after classification, the endpoint chosen for it, and the answers that a caller can
+//! get.
 
 use bytes::Bytes;
 use serde::{
@@ -24,7 +25,7 @@
     },
 };
 
-/// `Call` numbers a request at one router; the driver hands the numbers out, never twice.
+/// `Call` identifies a request at one router. The driver assigns each number only once.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -36,8 +37,8 @@
 )]
 pub struct Attempt(pub u32);
 
-/// `Key` is a caller's idempotency key, a UUIDv7 (RFC 9562), with its workspace: keys of two
-/// workspaces never meet.
+/// `Key` is a caller's idempotency key, a UUIDv7 (RFC 9562), together with its workspace, so that
+/// keys of different workspaces never collide.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -54,7 +55,7 @@
         Wall((self.uuid >> 80) as u64)
     }
 
-    /// Gets the number that picks the key's home.
+    /// Gets the key's hash, the rendezvous item that determines its home.
     pub fn item(self) -> u64 {
         let mut raw = [0; 20];
         raw[..4].copy_from_slice(&self.workspace.0.to_le_bytes());
@@ -63,32 +64,32 @@
     }
 }
 
-/// `Prefix` is a hash of the part of a chat that stays the same when it returns.
+/// `Prefix` is a hash of the part of a chat that is the same in all its requests.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Prefix(pub u64);
 
-/// `Token` is what a placement token says: the engines that hold the chat's prefix, newest first.
-/// It is advice only: a wrong one costs a cache miss.
+/// `Token` is the content of a placement token: the engines that hold the chat's prefix, newest
+/// first. It is a hint only; a wrong one costs a cache miss.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Token {
-    /// Engine that answered last.
+    /// Engine that answered the chat's last request.
     pub last: Tag,
-    /// That engine's incarnation.
+    /// Incarnation of that engine.
     pub incarnation: Incarnation,
-    /// Engine that answered before it.
+    /// Engine that answered the chat before that engine did.
     pub before: Option<Tag>,
 }
 
-/// `Work` is what a request asks for.
+/// `Work` describes what a request asks for, and how often it may run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Work {
     /// A chat with a model.
     Chat {
         /// The model.
         model: ModelKey,
-        /// Hash of the chat.
+        /// Prefix of the chat.
         prefix: Prefix,
         /// Placement token, if the caller brought one.
         token: Option<Token>,
@@ -97,7 +98,8 @@
     Plain {
         /// The service.
         service: ServiceKey,
-        /// Whether its method is idempotent, so that it may be sent again after bytes have left.
+        /// Whether its method is idempotent, so that the call may be sent again after bytes of it
+        /// have left.
         idempotent: bool,
     },
     /// A call of a plain service that runs at most once.
@@ -106,48 +108,48 @@
         service: ServiceKey,
         /// The caller's key.
         key: Key,
-        /// Hash of the workspace, method, path and body: a key that comes with another body is
+        /// Hash of the workspace, method, path and body. A key that is reused with other content is
         /// refused.
         content: u64,
     },
 }
 
-/// `Origin` says who sent the request to this router.
+/// `Origin` tells who sent the request to this router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
     /// A caller.
     Caller,
-    /// A peer that admitted it and found this router to be the key's home.
+    /// A peer that admitted the request and forwarded it to this router, the key's home.
     Peer(RouterKey),
 }
 
 /// `Request` is one request after authentication and classification.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Who sent it.
+    /// Who sent the request.
     pub origin: Origin,
-    /// The workspace it is charged to.
+    /// The workspace whose limits it counts towards.
     pub workspace: WorkspaceKey,
     /// Priority under overload.
     pub priority: Priority,
-    /// What it asks for.
+    /// The work that it asks for.
     pub work: Work,
-    /// When its answer must be whole.
+    /// Time by which the answer must be complete.
     pub deadline: Time,
 }
 
-/// `Outcome` is what a caller is told about its action.
+/// `Outcome` tells a caller whether its action ran.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display, strum::EnumString,
 )]
 #[strum(serialize_all = "snake_case")]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It ran, and the answer is the whole answer.
+    /// The action ran, and the answer is complete.
     Done,
-    /// It was not run and won't be. This is a promise.
+    /// The action has not run and is guaranteed not to run.
     NotRun,
-    /// It may have run. Repeating it with the same idempotency key is safe.
+    /// The action may have run. Repeating it with the same idempotency key is safe.
     Unknown,
 }
 
@@ -183,39 +185,40 @@
     NoEndpoint,
     /// Every attempt failed.
     EndpointFailed,
-    /// The answer broke off.
+    /// The answer ended before it was complete.
     Truncated,
     /// The key's home router cannot be reached or holds no lease.
     HomeUnavailable,
-    /// The key is too old, or older than its home's memory.
+    /// The key is too old, or created before the keys that its home remembers.
     KeyExpired,
-    /// The key's date is in the future.
+    /// The key's creation time is in the future.
     KeyFuture,
-    /// The key came before with other content.
+    /// The key was used before with other content.
     KeyReused,
     /// The key's first request is still in progress.
     KeyInProgress,
-    /// The home's memory of keys is full.
+    /// The home's memory for keys is full.
     KeysFull,
-    /// The answer was done but is no longer kept.
+    /// The action is done, but its answer is no longer stored.
     AnswerGone,
     /// The workspace or its rights changed while the request waited.
     Forbidden,
 }
 
-/// `Refusal` is the final answer to a request that the router gives up on; it goes out at once.
+/// `Refusal` is the final answer to a request that the router rejects or gives up on. It is sent at
+/// once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub code: Code,
-    /// What became of the action.
+    /// Whether the action ran.
     pub outcome: Outcome,
-    /// When to come back; `None` where coming back would not help.
+    /// Time after which to retry; `None` where a retry would not help.
     pub retry_after: Option<Millis>,
 }
 
 impl Refusal {
-    /// Refuses what was not run.
+    /// Makes the refusal of a request that was not run.
     pub const fn not_run(code: Code, retry_after: Option<Millis>) -> Self {
         Self {
             code,
@@ -224,7 +227,7 @@
         }
     }
 
-    /// Refuses what may have run.
+    /// Makes the refusal of a request that may have run.
     pub const fn unknown(code: Code, retry_after: Option<Millis>) -> Self {
         Self {
             code,
@@ -234,21 +237,22 @@
     }
 }
 
-/// `End` says how an attempt ended.
+/// `End` tells how an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The whole answer came, with its end mark and the request's own id.
+    /// The complete answer arrived, with its end mark and the id of this request.
     Whole(Answer),
-    /// No byte of the request left this router, or the endpoint said that it did not run it.
+    /// No byte of the request left this router, or the endpoint stated that it did not run it.
     NotSent {
-        /// Whether the endpoint said that it is leaving.
+        /// Whether the endpoint stated that it is leaving.
         leaving: bool,
     },
     /// The endpoint answered with an error status (5xx) of its own.
     Failed(Answer),
-    /// The connection broke, went silent, or the answer was another's, after bytes may have left.
+    /// After bytes may have left, the connection broke, the answer timed out, or an answer to
+    /// another request arrived.
     Broken {
-        /// Whether bytes of the answer have gone to the caller.
+        /// Whether bytes of the answer were relayed to the caller.
         relayed: bool,
     },
     /// The caller went away.
@@ -260,9 +264,9 @@
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Content type; kept with the body for repeats.
+    /// Content type; stored with the body to replay the answer.
     pub content_type: Bytes,
-    /// The whole body for calls that run once; empty for others.
+    /// The complete body for calls that run at most once; empty for others.
     pub body: Bytes,
     /// Prompt tokens found in the engine's cache.
     pub cached_tokens: Option<u32>,
@@ -273,33 +277,34 @@
 pub struct Placed {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// Second best, for the decision log.
+    /// Second-best endpoint, for the decision log.
     pub runner_up: Option<EndpointKey>,
-    /// Engine to import the chat's KV cache from first.
+    /// Engine from which to import the chat's KV cache before the attempt.
     pub import_from: Option<EndpointKey>,
-    /// Load at which the endpoint gets no more.
+    /// Load at which the endpoint gets no more requests.
     pub limit: u32,
-    /// Why this one.
+    /// Why the endpoint was chosen.
     pub reason: Reason,
 }
 
-/// `Reason` says why an endpoint was chosen.
+/// `Reason` tells why an endpoint was chosen.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, strum::Display, strum::EnumIter,
 )]
 #[strum(serialize_all = "snake_case")]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The placement token named it.
+    /// The placement token names it as the last engine.
     Token,
-    /// The token's older engine.
+    /// The placement token names it as the engine before the last.
     TokenBefore,
-    /// A cache event said that it holds the prefix.
+    /// A cache event reported that it holds the prefix.
     CacheEvent,
-    /// First by rendezvous hash.
+    /// It is the first by rendezvous hash.
     Home,
-    /// The better ones are at the load multiple.
+    /// It has room, and is not the first by rendezvous hash.
     Overflow,
-    /// Least loaded of two drawn.
+    /// It is the less loaded of two drawn at random, or the least loaded where none is below the
+    /// limit.
     LeastLoaded,
 }
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -1,4 +1,5 @@
-//! Units of time, revision and size, so that a bare integer never crosses a module border.
+//! Types for times, revisions, ratios and incarnations, so that modules don't pass bare integers
+//! to each other.
 
 use std::ops::{
     Add,
@@ -10,21 +11,22 @@
     Serialize, //
 };
 
-/// `Millis` is a length of time in milliseconds.
+/// `Millis` is a duration in milliseconds.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// Makes a length of time from whole seconds.
+    /// Makes a duration from whole seconds.
     pub const fn from_secs(secs: u64) -> Self {
         Self(secs.saturating_mul(1000))
     }
 }
 
-/// `Time` is a point on a node's monotonic clock in milliseconds. The clock counts suspended time
-/// (`CLOCK_BOOTTIME`), so that a process that wakes late sees how late it is.
+/// `Time` is a point on a node's monotonic clock in milliseconds. The clock includes the time that
+/// the system is suspended (`CLOCK_BOOTTIME`), so that a process sees after a suspension how much
+/// time has passed.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -61,8 +63,8 @@
     }
 }
 
-/// `Wall` is a wall-clock time in milliseconds since the Unix epoch. It is compared with dates
-/// that others wrote, never used to measure a length of time.
+/// `Wall` is a wall-clock time in milliseconds since the Unix epoch. It is compared with timestamps
+/// from other machines, and never used to measure a duration.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -96,7 +98,7 @@
     }
 }
 
-/// `Revision` is a revision of the published configuration; it only goes up.
+/// `Revision` is a revision of the published configuration; it only increases.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -109,7 +111,7 @@
 pub struct Permille(pub u32);
 
 impl Permille {
-    /// Makes the nearest ratio in thousandths; out of range becomes zero or the greatest.
+    /// Rounds a ratio to thousandths; a value out of range becomes zero or the greatest ratio.
     #[expect(clippy::cast_possible_truncation, reason = "a float cast saturates")]
     pub fn from_ratio(ratio: f64) -> Self {
         Self((ratio * 1000.0).round() as u32)
@@ -121,8 +123,8 @@
     }
 }
 
-/// `Incarnation` tells one life of a process from the next at the same address. Later lives have
-/// greater numbers.
+/// `Incarnation` distinguishes successive processes at the same address. A later process has a
+/// greater number.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/gateway/src/sse.rs
+++ b/crates/gateway/src/sse.rs
@@ -9,7 +9,7 @@
     BytesMut, //
 };
 use toucanturn_core::event_stream::{
-    MAX_EVENT,
+    MAX_EVENT_BYTES,
     event_end, //
 };
 
@@ -47,9 +47,9 @@
         !self.rest.is_empty()
     }
 
-    /// Returns whether the incomplete event already exceeds [`MAX_EVENT`].
+    /// Returns whether the incomplete event already exceeds [`MAX_EVENT_BYTES`].
     pub fn is_overlong(&self) -> bool {
-        self.rest.len() > MAX_EVENT
+        self.rest.len() > MAX_EVENT_BYTES
     }
 
     /// Takes the remaining bytes.
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -7,7 +7,7 @@
     Bytes,
     BytesMut, //
 };
-pub use toucanturn_core::event_stream::MAX_EVENT;
+pub use toucanturn_core::event_stream::MAX_EVENT_BYTES;
 use toucanturn_core::event_stream::event_end;
 
 /// `Scanner` cuts a byte stream into events.
@@ -19,7 +19,7 @@
     last: Option<u64>,
 }
 
-/// `Oversize` says that an event is longer than [`MAX_EVENT`].
+/// `Oversize` says that an event is longer than [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Oversize;
 
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when an event is longer than [`MAX_EVENT`], however many chunks it came in.
+    /// Fails when an event is longer than [`MAX_EVENT_BYTES`], however many chunks it came in.
     pub fn push(&mut self, chunk: &[u8]) -> Result<Bytes, Oversize> {
         if self.done {
             return Ok(Bytes::new());
@@ -37,7 +37,7 @@
         self.buffer.extend_from_slice(chunk);
         let mut whole = 0;
         while let Some(end) = event_end(&self.buffer, whole.max(self.searched.saturating_sub(3))) {
-            if end - whole > MAX_EVENT {
+            if end - whole > MAX_EVENT_BYTES {
                 return Err(Oversize);
             }
             self.note(whole, end);
@@ -48,7 +48,7 @@
             }
         }
         self.searched = self.buffer.len() - whole;
-        if self.searched > MAX_EVENT {
+        if self.searched > MAX_EVENT_BYTES {
             return Err(Oversize);
         }
         Ok(self.buffer.split_to(whole).freeze())
--- a/crates/router/tests/edge/scanner.rs
+++ b/crates/router/tests/edge/scanner.rs
@@ -18,7 +18,7 @@
     },
 };
 use toucanturn_router::relay::{
-    MAX_EVENT,
+    MAX_EVENT_BYTES,
     Oversize,
     Scanner, //
 };
@@ -131,12 +131,15 @@
 /// only holds for events that come in several chunks.
 #[gtest]
 fn verify_an_event_over_the_bound_is_refused_however_it_is_cut() {
-    for (length, end) in [(MAX_EVENT, Ok(())), (MAX_EVENT + 1, Err(Oversize))] {
+    for (length, end) in [
+        (MAX_EVENT_BYTES, Ok(())),
+        (MAX_EVENT_BYTES + 1, Err(Oversize)),
+    ] {
         let mut stream = b"data: 1\n\ndata: ".to_vec();
         let first = "data: 1\n\n".len();
         stream.resize(first + length - 2, b'x');
         stream.extend_from_slice(b"\n\n");
-        for cuts in [vec![], vec![first], vec![20], vec![first + MAX_EVENT]] {
+        for cuts in [vec![], vec![first], vec![20], vec![first + MAX_EVENT_BYTES]] {
             let seen = scan(&stream, &cuts);
             expect_that!(seen.end, eq(end), "{length} {cuts:?}");
         }
@@ -167,6 +170,6 @@
     let mut pushes = 0;
     while scanner.push(&chunk).is_ok() {
         pushes += 1;
-        assert!(pushes <= MAX_EVENT / chunk.len(), "no bound");
+        assert!(pushes <= MAX_EVENT_BYTES / chunk.len(), "no bound");
     }
 }
