--- a/crates/core/examples/bench_orders.rs
+++ b/crates/core/examples/bench_orders.rs
@@ -22,8 +22,8 @@
     },
     orders::{
         Loaded,
-        Orders,
-        Scene, //
+        OrderContext, //
+        OrderScheduler,
     },
     units::{
         Incarnation,
@@ -67,7 +67,7 @@
         let peers: Vec<_> = config.fleet.iter().map(|(key, _)| key).collect();
         let me = peers[0];
         let mut view = View::default();
-        let mut orders = Orders::default();
+        let mut orders = OrderScheduler::default();
         let mut now = Time(100_000);
         view.apply(now, &config);
         orders.apply(&config);
@@ -102,7 +102,7 @@
             for peer in &peers[1..] {
                 orders.heard(now, *peer, Revision(1));
             }
-            let scene = Scene {
+            let scene = OrderContext {
                 config: &config,
                 me: Some(me),
                 view: &view,
--- a/crates/core/src/action.rs
+++ b/crates/core/src/action.rs
@@ -8,10 +8,10 @@
     },
     orders::{
         Change,
-        Hold,
-        Number,
+        HoldReason,
         Order,
-        Reply, //
+        OrderNumber,
+        OrderOutcome, //
     },
     peer,
     request::{
@@ -133,13 +133,13 @@
         /// The engine that is to load.
         endpoint: EndpointKey,
         /// Number of the question.
-        number: Number,
+        number: OrderNumber,
         /// The change for which the engine loads weights.
         change: Change,
     },
     /// Send an order to an engine. Right before the first byte, the driver checks that the time is
     /// before `not_after` and that the order's revision is still in force. Otherwise it writes
-    /// nothing and reports [`Reply::NotSent`].
+    /// nothing and reports [`OrderOutcome::NotSent`].
     Order {
         /// The engine.
         endpoint: EndpointKey,
@@ -240,14 +240,14 @@
         /// The engine.
         endpoint: EndpointKey,
         /// Why none is sent.
-        hold: Hold,
+        hold: HoldReason,
     },
     /// An order was answered, or will not be answered any more.
     OrderEnded {
         /// The engine.
         endpoint: EndpointKey,
         /// The engine's reply, or why there is none.
-        reply: Reply,
+        reply: OrderOutcome,
     },
     /// A configuration was put in force.
     Applied {
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -9,10 +9,10 @@
     },
     ids::Id,
     orders::{
-        Grant,
         Loaded,
-        Number,
-        Reply, //
+        OrderNumber,
+        OrderOutcome, //
+        TokenReply,
     },
     peer,
     request::{
@@ -174,18 +174,18 @@
         /// The engine that is to load.
         endpoint: EndpointKey,
         /// Number of the question.
-        number: Number,
+        number: OrderNumber,
         /// The weight store's answer, or why there is none.
-        grant: Grant,
+        grant: TokenReply,
     },
     /// An order was answered, or will not be answered any more.
     OrderEnded {
         /// The engine.
         endpoint: EndpointKey,
         /// Number of the order.
-        number: Number,
+        number: OrderNumber,
         /// The engine's reply, or why there is none.
-        reply: Reply,
+        reply: OrderOutcome,
     },
     /// Regular tick, which the driver sends every [`TICK`].
     Tick,
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -43,7 +43,7 @@
         View, //
     },
     once::Home,
-    orders::Orders,
+    orders::OrderScheduler,
     overload::AdmissionController,
     place::{
         PlacementContext,
@@ -145,7 +145,7 @@
     gate: AdmissionController,
     home: Home,
     budget: RetryBudget,
-    orders: Orders,
+    orders: OrderScheduler,
     peers: SecondaryMap<RouterKey, Peer>,
     calls: IndexMap<Call, OpenCall>,
     /// Reports of polls since the last summary, with the times at which they arrived.
@@ -180,7 +180,7 @@
             gate: AdmissionController::default(),
             home,
             budget: RetryBudget::default(),
-            orders: Orders::default(),
+            orders: OrderScheduler::default(),
             peers: SecondaryMap::new(),
             calls: IndexMap::new(),
             polled_reports: SecondaryMap::new(),
--- a/crates/core/src/node/orders.rs
+++ b/crates/core/src/node/orders.rs
@@ -1,4 +1,4 @@
-//! Turns the steps of [`Orders`](crate::orders::Orders) into actions and log lines.
+//! Turns the steps of [`OrderScheduler`](crate::orders::Orders) into actions and log lines.
 
 use std::sync::Arc;
 
@@ -10,11 +10,11 @@
     },
     arena::EndpointKey,
     orders::{
-        Grant,
-        Number,
-        Reply,
-        Scene,
-        Step, //
+        OrderAction, //
+        OrderContext,
+        OrderNumber,
+        OrderOutcome,
+        TokenReply,
     },
     units::Now,
 };
@@ -26,7 +26,7 @@
             return;
         }
         let config = Arc::clone(self.store.current());
-        let scene = Scene {
+        let scene = OrderContext {
             config: &config,
             me: self.me,
             view: &self.view,
@@ -40,12 +40,12 @@
     pub(super) fn handle_weight_grant(
         &mut self,
         now: Now,
-        order: (EndpointKey, Number),
-        grant: Grant,
+        order: (EndpointKey, OrderNumber),
+        grant: TokenReply,
         out: &mut Vec<Action>,
     ) {
         let config = Arc::clone(self.store.current());
-        let scene = Scene {
+        let scene = OrderContext {
             config: &config,
             me: self.me,
             view: &self.view,
@@ -53,40 +53,43 @@
         };
         let mut steps = Vec::new();
         self.orders
-            .granted(scene, order, grant, &mut self.rng, &mut steps);
+            .on_token_reply(scene, order, grant, &mut self.rng, &mut steps);
         self.apply_order_steps(now, steps, out);
     }
 
     pub(super) fn handle_order_end(
         &mut self,
         now: Now,
-        order: (EndpointKey, Number),
-        reply: Reply,
+        order: (EndpointKey, OrderNumber),
+        reply: OrderOutcome,
         out: &mut Vec<Action>,
     ) {
         let config = Arc::clone(self.store.current());
-        let scene = Scene {
+        let scene = OrderContext {
             config: &config,
             me: self.me,
             view: &self.view,
             now: now.mono,
         };
-        if self.orders.ended(scene, order, reply, &mut self.rng) {
+        if self
+            .orders
+            .on_order_outcome(scene, order, reply, &mut self.rng)
+        {
             let endpoint = order.0;
             out.push(Action::Log(Decision::OrderEnded { endpoint, reply }));
         }
     }
 
-    fn apply_order_steps(&mut self, now: Now, steps: Vec<Step>, out: &mut Vec<Action>) {
+    fn apply_order_steps(&mut self, now: Now, steps: Vec<OrderAction>, out: &mut Vec<Action>) {
         for step in steps {
             match step {
-                Step::Poll(endpoint) => {
+                OrderAction::Poll(endpoint) => {
                     if self.view.take_extra_poll(now.mono, endpoint) {
                         self.view.asked(now.mono, endpoint);
                         out.push(Action::Poll { endpoint });
                     }
                 }
-                Step::Ask {
+                OrderAction::RequestToken {
                     endpoint,
                     number,
                     change,
@@ -95,13 +98,13 @@
                     number,
                     change,
                 }),
-                Step::Give { endpoint, order } => {
+                OrderAction::SendOrder { endpoint, order } => {
                     let logged = order.clone();
                     out.push(Action::Order { endpoint, order });
                     let order = logged;
                     out.push(Action::Log(Decision::Ordered { endpoint, order }));
                 }
-                Step::Held { endpoint, hold } => {
+                OrderAction::LogHold { endpoint, hold } => {
                     out.push(Action::Log(Decision::OrderHeld { endpoint, hold }));
                 }
             }
--- a/crates/core/src/orders/engine.rs
+++ b/crates/core/src/orders/engine.rs
@@ -1,12 +1,13 @@
-//! What one engine holds, what it should hold, and how far its last order is.
+//! State of one engine: the models that it reports, those that it should hold, and the progress of its
+//! last order.
 
 use std::sync::Arc;
 
 use super::message::{
     Change,
     Loaded,
-    Number,
     Order, //
+    OrderNumber,
 };
 use crate::{
     config::{
@@ -20,74 +21,80 @@
     },
 };
 
-/// `News` is an engine's own report of what it holds.
+/// `LoadedReport` is an engine's own report of the models that it holds.
 #[derive(Clone, Debug)]
-pub(super) struct News {
-    /// When it was heard.
+pub(super) struct LoadedReport {
+    /// Time at which this router received it.
     pub(super) at: Time,
-    /// The life that it is about.
-    pub(super) life: Incarnation,
+    /// Incarnation of the engine that sent it.
+    pub(super) incarnation: Incarnation,
     pub(super) loaded: Arc<Loaded>,
 }
 
-/// `Stage` is how far an engine's order is.
+/// `Phase` is the progress of an engine's current order.
 #[derive(Clone, Debug, Default)]
-pub(super) enum Stage {
-    /// Nothing is under way.
+pub(super) enum Phase {
+    /// No order is in progress.
     #[default]
     Idle,
-    /// The weight store is asked.
-    Asking { number: Number, at: Time },
-    /// The order is sent and unanswered.
+    /// The weight store was asked for a token and has not answered.
+    RequestingToken { number: OrderNumber, at: Time },
+    /// The order was sent and has no answer yet.
     Sent { order: Order, at: Time },
-    /// The engine obeys; what it loads should show by `until`.
+    /// The engine accepted the order; its reports should show the change by `until`.
     Loading { order: Order, until: Time },
-    /// The last order failed; the next may follow at `until`.
-    Resting { until: Time },
+    /// The last order failed; the next may be sent at `until`.
+    BackingOff { until: Time },
 }
 
-/// `Engine` is one engine as the orders see it.
+/// `Engine` is what the scheduler knows of one engine.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Engine {
-    pub(super) news: Option<News>,
-    /// Since when this router is the engine's issuer.
-    pub(super) issuer: Option<Time>,
-    pub(super) stage: Stage,
-    /// Orders in a row that did not lead to what is published.
+    pub(super) last_report: Option<LoadedReport>,
+    /// Time since which this router is the engine's issuer.
+    pub(super) issuer_since: Option<Time>,
+    pub(super) phase: Phase,
+    /// Consecutive orders after which the engine did not match the published configuration.
     pub(super) tries: u32,
-    /// Greatest fencing number that the engine named in a refusal.
-    pub(super) fenced: u64,
-    /// Reason last logged.
-    pub(super) held: Option<super::Hold>,
+    /// Greatest fencing number that the engine returned with a refusal.
+    pub(super) refused_fence: u64,
+    /// Reason that was logged last.
+    pub(super) logged_hold: Option<super::HoldReason>,
 }
 
 impl Engine {
-    /// Gets the news of the given life.
-    pub(super) fn news(&self, life: Incarnation) -> Option<&News> {
-        self.news.as_ref().filter(|news| news.life == life)
+    /// Gets the last report, if it came from the given incarnation.
+    pub(super) fn report_of(&self, incarnation: Incarnation) -> Option<&LoadedReport> {
+        self.last_report
+            .as_ref()
+            .filter(|report| report.incarnation == incarnation)
     }
 
     /// Gets the greatest fencing number that the engine is known to hold.
-    pub(super) fn fence(&self) -> u64 {
-        let reported = self.news.as_ref().map_or(0, |news| news.loaded.fence);
-        reported.max(self.fenced)
+    pub(super) fn known_fence(&self) -> u64 {
+        let reported = self
+            .last_report
+            .as_ref()
+            .map_or(0, |report| report.loaded.fence);
+        reported.max(self.refused_fence)
     }
 
-    /// Notes a report. A later life knows nothing of what the former one was told.
-    pub(super) fn report(&mut self, news: News) {
-        let before = self.news.as_ref().map(|old| old.life);
-        if before.is_some_and(|life| news.life < life) {
+    /// Records a report. Ignores one of an older incarnation; a newer incarnation starts without
+    /// the orders and fencing numbers of the older one.
+    pub(super) fn record_report(&mut self, report: LoadedReport) {
+        let before = self.last_report.as_ref().map(|old| old.incarnation);
+        if before.is_some_and(|incarnation| report.incarnation < incarnation) {
             return;
         }
-        if before.is_some_and(|life| news.life > life) {
+        if before.is_some_and(|incarnation| report.incarnation > incarnation) {
             self.tries = 0;
-            self.fenced = 0;
-            // An unanswered order stays: it may still reach the later life.
-            if !matches!(self.stage, Stage::Sent { .. }) {
-                self.stage = Stage::Idle;
+            self.refused_fence = 0;
+            // An unanswered order stays recorded: it may still reach the new incarnation.
+            if !matches!(self.phase, Phase::Sent { .. }) {
+                self.phase = Phase::Idle;
             }
         }
-        self.news = Some(news);
+        self.last_report = Some(report);
     }
 }
 
@@ -96,19 +103,20 @@
     endpoint.models.iter().filter_map(model)
 }
 
-/// Gets the version that an engine should report; `None` where the published versions of its models
-/// differ, which one reported version can't show.
-fn version<'a>(config: &'a Config, endpoint: &'a Endpoint) -> Option<&'a Model> {
+/// Gets the version that an engine should report. Returns `None` where its models have different
+/// published versions, because a report names only one version.
+fn common_version<'a>(config: &'a Config, endpoint: &'a Endpoint) -> Option<&'a Model> {
     let mut models = models(config, endpoint);
     let first = models.next()?;
     models.all(|m| m.version == first.version).then_some(first)
 }
 
-/// Gets the next change that leads an engine to what is published; `None` when it is there.
+/// Gets the next change that brings an engine to the published configuration; `None` when it holds
+/// all that is published.
 ///
-/// It follows from the configuration and the report alone, so that two routers with the same
-/// configuration can only give the same order.
-pub(super) fn wanted(config: &Config, endpoint: &Endpoint, loaded: &Loaded) -> Option<Change> {
+/// The result depends on the configuration and the report alone, so that two routers with the same
+/// configuration and report order the same change.
+pub(super) fn next_change(config: &Config, endpoint: &Endpoint, loaded: &Loaded) -> Option<Change> {
     let missing = models(config, endpoint).find(|m| !loaded.models.contains(&m.id));
     if let Some(model) = missing {
         return Some(Change::LoadModel {
@@ -116,7 +124,7 @@
             version: model.version.clone(),
         });
     }
-    let model = version(config, endpoint)?;
+    let model = common_version(config, endpoint)?;
     (loaded.version.as_ref() != Some(&model.version)).then(|| Change::LoadVersion {
         model: model.id.clone(),
         version: model.version.clone(),
--- a/crates/core/src/orders/message.rs
+++ b/crates/core/src/orders/message.rs
@@ -1,4 +1,4 @@
-//! Orders, what comes of them, and what engines say they hold.
+//! Types of orders to engines, their outcomes, and what engines report.
 
 use crate::{
     ids::Id,
@@ -9,21 +9,21 @@
     },
 };
 
-/// Most models that a report may name; the rest is not looked at.
+/// Most models that are read from one report; the others are ignored.
 pub const MAX_MODELS: usize = 64;
 
-/// `Loaded` is what an engine reports to hold.
+/// `Loaded` is what an engine reports to have loaded.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Loaded {
-    /// Models and adapters.
+    /// Names of its models and adapters.
     pub models: Vec<Id>,
-    /// The version; `None` where the engine states none that is a name.
+    /// Version of its models; `None` where the engine reports none or one that is not a valid name.
     pub version: Option<Id>,
-    /// The fencing number of the last order that it obeyed.
+    /// Fencing number of the last order that it accepted.
     pub fence: u64,
 }
 
-/// `Change` is what an order asks for.
+/// `Change` is what an order tells an engine to load.
 #[derive(Clone, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Change {
@@ -34,9 +34,9 @@
         /// Its published version.
         version: Id,
     },
-    /// Load another version of what the engine holds.
+    /// Load another version of the models that the engine holds.
     LoadVersion {
-        /// A model of that version, for which the weight store is asked.
+        /// Model whose weights the token of the weight store is for.
         model: Id,
         /// The published version.
         version: Id,
@@ -44,7 +44,7 @@
 }
 
 impl Change {
-    /// Gets the model and the version whose weights are loaded.
+    /// Gets the model and version whose weights the engine will load.
     pub const fn weights(&self) -> (&Id, &Id) {
         match self {
             Self::LoadModel { model, version } | Self::LoadVersion { model, version } => {
@@ -54,73 +54,74 @@
     }
 }
 
-/// `Number` tells one order of a router's life from another.
+/// `OrderNumber` identifies one order or token request among those that a router process makes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Number(pub u64);
+pub struct OrderNumber(pub u64);
 
-/// `Order` is one order as it goes to an engine.
+/// `Order` is an order that is sent to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Its number at this router.
-    pub number: Number,
+    /// Identifies it at this router.
+    pub number: OrderNumber,
     /// Its fencing number.
     pub fence: u64,
-    /// The configuration revision that it follows.
+    /// The configuration revision that it carries out.
     pub revision: Revision,
     /// What to do.
     pub change: Change,
-    /// From this time on the driver writes no byte of it, so that a process that was paused sends
-    /// nothing that another router may have replaced.
+    /// The driver sends no byte of the order from this time on: after a pause of this process,
+    /// another router may have sent a newer order.
     pub not_after: Time,
 }
 
-/// `Grant` is the weight store's answer to a question for a token.
+/// `TokenReply` is the weight store's answer to a token request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Grant {
-    /// One load may begin.
+pub enum TokenReply {
+    /// One engine may start to load.
     Token,
-    /// The store is over its rate.
+    /// The store is over its rate limit; ask again after this time.
     Wait(Millis),
-    /// The store did not answer, or not so.
+    /// The store did not answer, or its answer was neither of the others.
     Failed,
 }
 
-/// `Reply` is what came of an order.
+/// `OrderOutcome` is the result of sending an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "snake_case")]
-pub enum Reply {
-    /// The engine obeys.
+pub enum OrderOutcome {
+    /// The engine accepted the order.
     Obeyed,
-    /// The engine holds this fencing number, which is not below the order's.
+    /// The engine refused the order: it holds this fencing number, which is not below the order's.
     Fenced(u64),
-    /// The engine refused for another reason, and did nothing.
+    /// The engine refused the order for another reason and did nothing.
     Refused,
-    /// No byte of it left.
+    /// No byte of the order was sent.
     NotSent,
-    /// Nobody knows: bytes of it may have left, and no answer came.
+    /// Bytes of the order may have been sent, and no usable answer came.
     Unknown,
 }
 
-/// `Hold` says why an engine that needs an order gets none now.
+/// `HoldReason` is the reason why an engine that needs an order gets none now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumIter)]
 #[strum(serialize_all = "snake_case")]
-pub enum Hold {
-    /// This router has heard nothing new since it started or woke.
+pub enum HoldReason {
+    /// This router has heard nothing new since it started or resumed after a pause.
     NoNews,
-    /// A peer holds a newer configuration, or the engine obeyed one.
+    /// A peer has a newer configuration in force, or the engine accepted an order of a newer one.
     Behind,
-    /// The engine ignores fencing, and this router hears no majority of the fleet.
+    /// The engine ignores fencing numbers, and this router hears no majority of the fleet.
     Minority,
-    /// The engine ignores fencing, and a former issuer's order may be on its way.
+    /// The engine ignores fencing numbers, and an order of the former issuer may still arrive.
     HoldOff,
-    /// The engine is leaving, down, or has not reported what it holds lately.
+    /// The engine is leaving or down, or has not reported its models recently.
     Unreported,
-    /// Enough engines of a model are loading.
+    /// As many engines as allowed are loading one of its models.
     Pace,
-    /// Fewer than `min_replicas` engines would serve a model.
+    /// Fewer than `min_replicas` other engines are certain to serve one of its models meanwhile.
     MinReplicas,
-    /// The weight store is over its rate or fails.
+    /// The weight store is over its rate limit or failed, or its token for another engine is pending.
     WeightStore,
-    /// The last order is unanswered, its load goes on, or it failed and a retry is not yet due.
+    /// The last order's outcome is unknown, its load is in progress, or it failed and a retry is not
+    /// yet due.
     Waiting,
 }
--- a/crates/core/src/orders/mod.rs
+++ b/crates/core/src/orders/mod.rs
@@ -1,18 +1,20 @@
-//! Orders to engines: which engine is told to load what, by whom, and when.
+//! Orders to engines: decides which engine is told to load which model, by which router, and when.
 //!
-//! What an engine should hold follows from the published configuration alone; what it holds, from
-//! its own reports. A difference needs an order. The issuer is the router that polls the engine:
-//! the highest rendezvous score among the routers that were heard lately. Views differ, so there
-//! may be two for a while, and these rules keep them harmless:
+//! The published configuration defines what an engine should hold, and the engine's own reports say
+//! what it holds. If the two differ, the engine needs an order. The issuer of an engine's orders is
+//! the router that polls it: the one with the highest rendezvous score among the routers heard
+//! recently. Routers' views differ, so an engine may have two issuers for a while. These rules make
+//! that harmless:
 //!
-//! - A fencing number carries the revision that its order follows ([`FENCES`]). Nobody who holds an
-//!   older revision can make a number above it, so on an engine that checks, nothing flips back.
-//! - On an engine that ignores the number, only a router that hears the majority of the published
-//!   fleet gives orders, and one that takes over waits [`hold_off`] first.
-//! - A router that started or woke gives none before it has heard something new.
-//! - One order is unanswered at a time, and what came of it is read back from reports.
+//! - A fencing number contains the revision that its order carries out ([`FENCES_PER_REVISION`]). A
+//!   router with an older revision can't make a greater number, so an engine that checks fencing
+//!   numbers never returns to an older revision.
+//! - An engine that ignores fencing numbers gets orders only from a router that hears the majority
+//!   of the published fleet. A router that becomes its issuer first waits for [`hold_off`].
+//! - After a start or a pause, a router gives no orders before it has heard something new.
+//! - An engine has at most one unanswered order, and its reports show the effect of an order.
 //!
-//! [`pace`] bounds how many engines load at once; each load takes a token of the weight store.
+//! [`pace`] bounds how many engines load at once. Each load needs a token from the weight store.
 
 use rand::{
     Rng,
@@ -56,139 +58,139 @@
 
 use engine::{
     Engine,
-    News,
-    Stage, //
+    LoadedReport,
+    Phase, //
 };
 pub use message::{
     Change,
-    Grant,
-    Hold,
+    HoldReason,
     Loaded,
     MAX_MODELS,
-    Number,
     Order,
-    Reply, //
+    OrderNumber,
+    OrderOutcome, //
+    TokenReply,
 };
 
-/// Fencing numbers of one revision: an order under revision `r` has one from `r * FENCES` on, and
-/// below `(r + 1) * FENCES`.
-pub const FENCES: u64 = 1 << 20;
+/// Number of fencing numbers of one revision: an order under revision `r` has a number from
+/// `r * FENCES_PER_REVISION` on and below `(r + 1) * FENCES_PER_REVISION`.
+pub const FENCES_PER_REVISION: u64 = 1 << 20;
 
-/// Time after which an order or a question to the weight store is given up.
+/// Time to wait for the answer to an order or to a token request.
 pub const ORDER_TIMEOUT: Millis = Millis::from_secs(5);
 
-/// Time that an order is on its way beyond [`ORDER_TIMEOUT`], and what clocks differ in that.
+/// Time that is added to [`ORDER_TIMEOUT`] for an order's transit and for differences between clocks.
 const ORDER_SLACK: Millis = Millis(1000);
 
-/// Shortest time since the last word of a router at which another takes its engines over.
-const HEARD: Millis = Millis::from_secs(2);
+/// Shortest silence of a router after which another one takes over its engines.
+const MIN_PEER_TIMEOUT: Millis = Millis::from_secs(2);
 
-/// Time in which what an engine loads should show; then the order is given again.
-pub const LOAD_TIME: Millis = Millis::from_secs(120);
+/// Time in which an engine should report what it was ordered to load; after it, the order is repeated.
+pub const LOAD_TIMEOUT: Millis = Millis::from_secs(120);
 
-/// Shortest wait after a failure; doubles up to [`BACKOFF_MAX`].
+/// Base of the wait after a failure, which doubles up to [`BACKOFF_MAX`].
 const BACKOFF_MIN: Millis = Millis(500);
 
-/// Longest wait after a failure.
+/// Greatest random wait after a failure.
 const BACKOFF_MAX: Millis = Millis::from_secs(60);
 
-/// Longest wait that the weight store can impose.
+/// Longest wait that is accepted from the weight store.
 const STORE_WAIT_MAX: Millis = Millis::from_secs(600);
 
-/// Time between two looks at what engines hold.
-const TURN: Millis = Millis(500);
+/// Time between two comparisons of engines with the configuration.
+const CHECK_INTERVAL: Millis = Millis(500);
 
-/// Time between two rounds of polls of engines that an order waits for.
-const SURVEY: Millis = Millis(1000);
+/// Time between two rounds of polls of engines whose reports an order waits for.
+const POLL_ROUND_INTERVAL: Millis = Millis(1000);
 
-/// Most polls of a round.
-const SURVEY_POLLS: usize = 8;
+/// Most polls in one round.
+const MAX_POLLS_PER_ROUND: usize = 8;
 
-/// Gets the time for which a router counts as there after its last word.
-pub fn heard_for(policy: &Policy) -> Millis {
-    let words = Millis(policy.summary_interval.0.saturating_mul(3));
-    HEARD.max(words + MAX_REPORT_TRANSIT)
+/// Gets the time after its last message for which a router counts as present.
+pub fn peer_timeout(policy: &Policy) -> Millis {
+    let intervals = Millis(policy.summary_interval.0.saturating_mul(3));
+    MIN_PEER_TIMEOUT.max(intervals + MAX_REPORT_TRANSIT)
 }
 
 /// Gets the time that a router waits after it became the issuer of an engine that ignores fencing
-/// numbers. A former issuer that lost touch with the fleet notices after [`heard_for`]; what it sent
-/// until then is answered or given up after [`ORDER_TIMEOUT`].
+/// numbers. A former issuer that lost its connection to the fleet notices after [`peer_timeout`]; the
+/// orders that it sent until then are answered or time out after [`ORDER_TIMEOUT`].
 pub fn hold_off(policy: &Policy) -> Millis {
-    heard_for(policy) + ORDER_TIMEOUT + ORDER_SLACK + wake::MIN_PAUSE
+    peer_timeout(policy) + ORDER_TIMEOUT + ORDER_SLACK + wake::MIN_PAUSE
 }
 
-/// `Scene` is what the orders see of a router.
+/// `OrderContext` is the state of the router that decisions about orders read.
 #[derive(Clone, Copy, Debug)]
-pub struct Scene<'a> {
+pub struct OrderContext<'a> {
     /// The configuration in force.
     pub config: &'a Config,
-    /// This router; `None` while it is not in the published fleet.
+    /// Key of this router; `None` while it is not in the published fleet.
     pub me: Option<RouterKey>,
-    /// Its view of endpoints.
+    /// This router's view of endpoints.
     pub view: &'a View,
-    /// The time.
+    /// The present time.
     pub now: Time,
 }
 
-/// `Step` is one thing to do.
+/// `OrderAction` is one action that the caller must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// Poll an engine whose news an order waits for.
+pub enum OrderAction {
+    /// Poll an engine whose report an order waits for.
     Poll(EndpointKey),
-    /// Ask the weight store for the token of a load.
-    Ask {
+    /// Ask the weight store for a token for a load.
+    RequestToken {
         /// The engine.
         endpoint: EndpointKey,
-        /// Number of the question.
-        number: Number,
-        /// What is to be loaded.
+        /// Identifies the request.
+        number: OrderNumber,
+        /// What the engine is to load.
         change: Change,
     },
-    /// Give an engine an order.
-    Give {
+    /// Send an order to an engine.
+    SendOrder {
         /// The engine.
         endpoint: EndpointKey,
         /// The order.
         order: Order,
     },
-    /// Log that an engine needs an order and gets none now.
-    Held {
+    /// Log that an engine needs an order that is held back.
+    LogHold {
         /// The engine.
         endpoint: EndpointKey,
-        /// Why.
-        hold: Hold,
+        /// Why it is held back.
+        hold: HoldReason,
     },
 }
 
-/// `Peer` is the last word of a router.
+/// `PeerState` is what the last message of a router said.
 #[derive(Clone, Copy, Debug)]
-struct Peer {
+struct PeerState {
     at: Time,
     revision: Revision,
 }
 
-/// `Orders` is one router's orders. It holds one entry for each configured engine and each router
-/// of the fleet, so the configuration bounds it.
+/// `OrderScheduler` decides about the orders of one router. It holds one entry for each configured
+/// engine and each router of the fleet, so the configuration bounds its size.
 #[derive(Debug, Default)]
-pub struct Orders {
+pub struct OrderScheduler {
     engines: SecondaryMap<EndpointKey, Engine>,
-    peers: SecondaryMap<RouterKey, Peer>,
-    /// Whether something new was heard since the start or the last wake-up.
-    fresh: bool,
-    /// When this process last woke.
-    woke: Option<Time>,
-    /// The question that is at the weight store.
-    asking: Option<EndpointKey>,
-    /// When the weight store may be asked again.
-    store: Time,
+    peers: SecondaryMap<RouterKey, PeerState>,
+    /// Whether something new was heard since the start or the last pause.
+    heard_since_wake: bool,
+    /// End of the last pause of this process.
+    woke_at: Option<Time>,
+    /// The engine for which a token request is pending.
+    requesting: Option<EndpointKey>,
+    /// Time from which the weight store may be asked again.
+    store_retry_at: Time,
     store_failures: u32,
-    surveyed: Time,
-    turned: Time,
-    next: Number,
+    last_poll_round: Time,
+    last_check: Time,
+    last_number: OrderNumber,
 }
 
-impl Orders {
-    /// Follows a new configuration.
+impl OrderScheduler {
+    /// Takes over a new configuration: adds and removes engines and peers.
     pub fn apply(&mut self, config: &Config) {
         let engine = |key| config.endpoints.get(key).is_some_and(|e| is_engine(e));
         self.engines.retain(|key, _| engine(key));
@@ -200,131 +202,133 @@
         }
     }
 
-    /// Notes that this process was paused: it has heard nothing of what happened meanwhile, and
-    /// another router may have taken its engines over.
+    /// Records the end of a pause of this process: it missed what happened meanwhile, and another
+    /// router may have taken over its engines.
     pub fn woke(&mut self, now: Time) {
-        self.fresh = false;
-        self.woke = Some(now);
+        self.heard_since_wake = false;
+        self.woke_at = Some(now);
         self.peers.clear();
         for (_, engine) in &mut self.engines {
-            engine.news = None;
-            engine.issuer = None;
+            engine.last_report = None;
+            engine.issuer_since = None;
         }
     }
 
-    /// Notes a peer's word and the revision that it has in force.
+    /// Records a message of a peer and the revision that the peer has in force.
     pub fn heard(&mut self, now: Time, router: RouterKey, revision: Revision) {
-        if self.settling(now) {
+        if self.is_settling(now) {
             return;
         }
-        let peer = Peer { at: now, revision };
+        let peer = PeerState { at: now, revision };
         self.peers.insert(router, peer);
-        self.fresh = true;
+        self.heard_since_wake = true;
     }
 
-    /// Notes an answer of the configuration service.
+    /// Records that the configuration service answered.
     pub fn read(&mut self, now: Time) {
-        self.fresh |= !self.settling(now);
+        self.heard_since_wake |= !self.is_settling(now);
     }
 
-    /// Notes an engine's own report.
+    /// Records an engine's own report.
     pub fn report(&mut self, now: Time, endpoint: EndpointKey, report: &Report) {
         let Some(loaded) = report.loaded.clone() else {
             return;
         };
-        if self.settling(now) {
+        if self.is_settling(now) {
             return;
         }
-        let news = News {
+        let loaded_report = LoadedReport {
             at: now,
-            life: report.incarnation,
+            incarnation: report.incarnation,
             loaded,
         };
         if let Some(engine) = self.engines.get_mut(endpoint) {
-            engine.report(news);
+            engine.record_report(loaded_report);
         }
     }
 
-    /// Does what is due. Call it again and again.
-    pub fn tick(&mut self, scene: Scene<'_>, out: &mut Vec<Step>) {
-        if scene.now.since(self.turned) < TURN {
+    /// Adds the actions that are due to `out`. The caller must call this periodically.
+    pub fn tick(&mut self, context: OrderContext<'_>, out: &mut Vec<OrderAction>) {
+        if context.now.since(self.last_check) < CHECK_INTERVAL {
             return;
         }
-        self.turned = scene.now;
-        self.expire(scene);
-        let mut survey = Vec::new();
-        for key in self.reporting(scene.now) {
-            self.turn(scene, key, &mut survey, out);
+        self.last_check = context.now;
+        self.expire(context);
+        let mut to_poll = Vec::new();
+        for key in self.recently_reported(context.now) {
+            self.check_engine(context, key, &mut to_poll, out);
         }
-        if scene.now.since(self.surveyed) >= SURVEY && !survey.is_empty() {
-            self.surveyed = scene.now;
-            survey.truncate(SURVEY_POLLS);
-            out.extend(survey.into_iter().map(Step::Poll));
+        if context.now.since(self.last_poll_round) >= POLL_ROUND_INTERVAL && !to_poll.is_empty() {
+            self.last_poll_round = context.now;
+            to_poll.truncate(MAX_POLLS_PER_ROUND);
+            out.extend(to_poll.into_iter().map(OrderAction::Poll));
         }
     }
 
-    /// Lists the engines that this router heard itself lately. Only those can be its own, so that
-    /// the work of a turn grows with the engines that it polls, not with all.
-    fn reporting(&mut self, now: Time) -> Vec<EndpointKey> {
+    /// Lists the engines whose reports this router received itself recently, and ends its role as
+    /// issuer of the others. It can only be the issuer of engines that it polls, so the cost of a
+    /// check grows with those and not with all engines.
+    fn recently_reported(&mut self, now: Time) -> Vec<EndpointKey> {
         let mut keys = Vec::new();
         for (key, engine) in &mut self.engines {
-            let fresh = |news: &News| now.since(news.at) <= MAX_CONFIRMATION_AGE;
-            if engine.news.as_ref().is_some_and(fresh) {
+            let fresh = |report: &LoadedReport| now.since(report.at) <= MAX_CONFIRMATION_AGE;
+            if engine.last_report.as_ref().is_some_and(fresh) {
                 keys.push(key);
             } else {
-                engine.issuer = None;
+                engine.issuer_since = None;
             }
         }
         keys
     }
 
-    /// Notes the weight store's answer and gives the order, if all still stands as it did.
-    pub fn granted(
+    /// Handles the weight store's answer. With a token, sends the order if the engine still needs it.
+    pub fn on_token_reply(
         &mut self,
-        scene: Scene<'_>,
-        (endpoint, number): (EndpointKey, Number),
-        grant: Grant,
+        context: OrderContext<'_>,
+        (endpoint, number): (EndpointKey, OrderNumber),
+        grant: TokenReply,
         rng: &mut impl Rng,
-        out: &mut Vec<Step>,
+        out: &mut Vec<OrderAction>,
     ) {
         let engine = self.engines.get_mut(endpoint);
-        let Some(engine) = engine
-            .filter(|e| matches!(e.stage, Stage::Asking { number: asked, .. } if asked == number))
-        else {
+        let Some(engine) = engine.filter(|e| {
+            matches!(e.phase,
+                Phase::RequestingToken { number: asked, .. } if asked == number)
+        }) else {
             return;
         };
-        engine.stage = Stage::Idle;
-        self.asking = None;
+        engine.phase = Phase::Idle;
+        self.requesting = None;
         match grant {
-            Grant::Token => {
+            TokenReply::Token => {
                 self.store_failures = 0;
-                self.give(scene, endpoint, out);
+                self.send_order(context, endpoint, out);
             }
-            Grant::Wait(wait) => {
+            TokenReply::Wait(wait) => {
                 let wait = wait.min(STORE_WAIT_MAX);
                 let spread = backoff(self.store_failures, rng);
-                self.store = scene.now + wait + spread;
+                self.store_retry_at = context.now + wait + spread;
                 self.store_failures = self.store_failures.saturating_add(1);
             }
-            Grant::Failed => {
-                self.store = scene.now + BACKOFF_MIN + backoff(self.store_failures, rng);
+            TokenReply::Failed => {
+                self.store_retry_at = context.now + BACKOFF_MIN + backoff(self.store_failures, rng);
                 self.store_failures = self.store_failures.saturating_add(1);
             }
         }
     }
 
-    /// Notes what came of an order; tells whether it was the one that is unanswered.
-    pub fn ended(
+    /// Handles the outcome of an order; returns whether the order was the unanswered one.
+    pub fn on_order_outcome(
         &mut self,
-        scene: Scene<'_>,
-        (endpoint, number): (EndpointKey, Number),
-        reply: Reply,
+        context: OrderContext<'_>,
+        (endpoint, number): (EndpointKey, OrderNumber),
+        reply: OrderOutcome,
         rng: &mut impl Rng,
     ) -> bool {
         let Some(engine) = self.engines.get_mut(endpoint) else {
             return false;
         };
-        let Stage::Sent { order, .. } = &engine.stage else {
+        let Phase::Sent { order, .. } = &engine.phase else {
             return false;
         };
         if order.number != number {
@@ -333,238 +337,263 @@
         let order = order.clone();
         engine.tries = engine.tries.saturating_add(1);
         let wait = BACKOFF_MIN + backoff(engine.tries, rng);
-        engine.stage = match reply {
-            Reply::Obeyed => Stage::Loading {
+        engine.phase = match reply {
+            OrderOutcome::Obeyed => Phase::Loading {
                 order,
-                until: scene.now + LOAD_TIME,
+                until: context.now + LOAD_TIMEOUT,
             },
-            Reply::Fenced(fence) => {
-                // Another router gave an order meanwhile. What it led to is read before anything
-                // else is said, or the two would go on outbidding each other.
-                engine.fenced = engine.fenced.max(fence);
-                engine.news = None;
-                let until = scene.now + wait;
-                Stage::Resting { until }
+            OrderOutcome::Fenced(fence) => {
+                // Another router gave an order meanwhile. Its effect must be read before the next
+                // order, or the two routers would go on exceeding each other's numbers.
+                engine.refused_fence = engine.refused_fence.max(fence);
+                engine.last_report = None;
+                let until = context.now + wait;
+                Phase::BackingOff { until }
             }
-            Reply::Refused | Reply::NotSent => Stage::Resting {
-                until: scene.now + wait,
+            OrderOutcome::Refused | OrderOutcome::NotSent => Phase::BackingOff {
+                until: context.now + wait,
             },
-            // It may be on its way still, and a second one could overtake it.
-            Reply::Unknown => Stage::Resting {
-                until: scene.now + hold_off(&scene.config.policy).max(wait),
+            // The order may still be in transit, and a second one could overtake it.
+            OrderOutcome::Unknown => Phase::BackingOff {
+                until: context.now + hold_off(&context.config.policy).max(wait),
             },
         };
         true
     }
 
-    fn settling(&self, now: Time) -> bool {
-        self.woke.is_some_and(|t| now.since(t) < wake::SETTLE_TIME)
+    fn is_settling(&self, now: Time) -> bool {
+        self.woke_at
+            .is_some_and(|t| now.since(t) < wake::SETTLE_TIME)
     }
 
-    /// Ends what was not answered in time; the driver gives up sooner, so its word was lost.
-    fn expire(&mut self, scene: Scene<'_>) {
-        let late = |at: Time| scene.now.since(at) >= ORDER_TIMEOUT + ORDER_SLACK;
+    /// Ends orders and token requests without a timely answer. The driver reports its own time-outs
+    /// sooner, so here its event was lost.
+    fn expire(&mut self, context: OrderContext<'_>) {
+        let late = |at: Time| context.now.since(at) >= ORDER_TIMEOUT + ORDER_SLACK;
         for (key, engine) in &mut self.engines {
-            engine.stage = match std::mem::take(&mut engine.stage) {
-                Stage::Asking { at, .. } if late(at) => Stage::Idle,
-                Stage::Sent { at, .. } if late(at) => Stage::Resting {
-                    until: scene.now + hold_off(&scene.config.policy),
+            engine.phase = match std::mem::take(&mut engine.phase) {
+                Phase::RequestingToken { at, .. } if late(at) => Phase::Idle,
+                Phase::Sent { at, .. } if late(at) => Phase::BackingOff {
+                    until: context.now + hold_off(&context.config.policy),
                 },
-                Stage::Loading { until, .. } | Stage::Resting { until } if scene.now >= until => {
-                    Stage::Idle
+                Phase::Loading { until, .. } | Phase::BackingOff { until }
+                    if context.now >= until =>
+                {
+                    Phase::Idle
                 }
-                stage => stage,
+                phase => phase,
             };
-            let asks = matches!(engine.stage, Stage::Asking { .. });
-            if self.asking == Some(key) && !asks {
-                self.asking = None;
+            let asks = matches!(engine.phase, Phase::RequestingToken { .. });
+            if self.requesting == Some(key) && !asks {
+                self.requesting = None;
             }
         }
-        // An engine that went out of the configuration took its question along.
-        self.asking = self.asking.filter(|key| self.engines.contains_key(*key));
+        // The pending request of an engine that was removed from the configuration ends too.
+        self.requesting = self
+            .requesting
+            .filter(|key| self.engines.contains_key(*key));
     }
 
-    /// Looks after one engine.
-    fn turn(
+    /// Checks one engine: requests a token if it needs an order, or logs why the order is held back.
+    fn check_engine(
         &mut self,
-        scene: Scene<'_>,
+        context: OrderContext<'_>,
         key: EndpointKey,
-        survey: &mut Vec<EndpointKey>,
-        out: &mut Vec<Step>,
+        to_poll: &mut Vec<EndpointKey>,
+        out: &mut Vec<OrderAction>,
     ) {
-        let issuer = self.is_issuer(scene, key);
+        let issuer = self.is_issuer(context, key);
         let Some(engine) = self.engines.get_mut(key) else {
             return;
         };
         if !issuer {
-            engine.issuer = None;
-            engine.held = None;
+            engine.issuer_since = None;
+            engine.logged_hold = None;
             return;
         }
-        engine.issuer = engine.issuer.or(Some(scene.now));
-        if matches!(engine.stage, Stage::Asking { .. } | Stage::Sent { .. }) {
+        engine.issuer_since = engine.issuer_since.or(Some(context.now));
+        if matches!(
+            engine.phase,
+            Phase::RequestingToken { .. } | Phase::Sent { .. }
+        ) {
             return;
         }
-        let hold = match self.check(scene, key) {
+        let hold = match self.due_change(context, key) {
             Ok(None) => {
-                self.settled(key);
+                self.on_up_to_date(key);
                 return;
             }
-            Ok(Some(_)) if self.asking.is_some() || scene.now < self.store => Hold::WeightStore,
+            Ok(Some(_)) if self.requesting.is_some() || context.now < self.store_retry_at => {
+                HoldReason::WeightStore
+            }
             Ok(Some(change)) => {
-                self.ask(scene, key, change, out);
+                self.request_token(context, key, change, out);
                 return;
             }
             Err(hold) => hold,
         };
-        let waits = matches!(hold, Hold::Pace | Hold::MinReplicas | Hold::Unreported);
-        if waits && survey.is_empty() && !self.settling(scene.now) {
-            let since = scene.now - MAX_CONFIRMATION_AGE;
-            survey.extend(pace::unknown(&scene, &self.engines, key, since));
+        let needs_reports = matches!(
+            hold,
+            HoldReason::Pace | HoldReason::MinReplicas | HoldReason::Unreported
+        );
+        if needs_reports && to_poll.is_empty() && !self.is_settling(context.now) {
+            let since = context.now - MAX_CONFIRMATION_AGE;
+            to_poll.extend(pace::stale_engines(&context, &self.engines, key, since));
         }
-        self.hold(key, hold, out);
+        self.log_hold(key, hold, out);
     }
 
-    fn is_issuer(&self, scene: Scene<'_>, key: EndpointKey) -> bool {
-        let (Some(me), Some(endpoint)) = (scene.me, scene.config.endpoints.get(key)) else {
+    fn is_issuer(&self, context: OrderContext<'_>, key: EndpointKey) -> bool {
+        let (Some(me), Some(endpoint)) = (context.me, context.config.endpoints.get(key)) else {
             return false;
         };
-        let span = heard_for(&scene.config.policy);
+        let span = peer_timeout(&context.config.policy);
         let there = |key| {
             let peer = self.peers.get(key);
-            peer.is_some_and(|p| scene.now.since(p.at) <= span)
+            peer.is_some_and(|p| context.now.since(p.at) <= span)
         };
-        pollers::rank_among(scene.config, me, endpoint, there) == Some(0)
+        pollers::rank_among(context.config, me, endpoint, there) == Some(0)
     }
 
-    /// Tells what an engine is to be ordered now, `None` for nothing, or why it must wait.
-    fn check(&self, scene: Scene<'_>, key: EndpointKey) -> Result<Option<Change>, Hold> {
+    /// Gets the change to order from an engine now, `None` if it needs none, or why it must wait.
+    fn due_change(
+        &self,
+        context: OrderContext<'_>,
+        key: EndpointKey,
+    ) -> Result<Option<Change>, HoldReason> {
         let (Some(engine), Some(endpoint)) =
-            (self.engines.get(key), scene.config.endpoints.get(key))
+            (self.engines.get(key), context.config.endpoints.get(key))
         else {
             return Ok(None);
         };
-        let life = scene.view.incarnation(key);
-        let state = scene.view.state(scene.now, key);
-        let news = engine.news(life);
-        let news = news.filter(|news| scene.now.since(news.at) <= MAX_CONFIRMATION_AGE);
-        let news = news.filter(|_| matches!(state, State::Live | State::Suspect));
-        let news = news.ok_or(Hold::Unreported)?;
-        let Some(change) = engine::wanted(scene.config, endpoint, &news.loaded) else {
+        let incarnation = context.view.incarnation(key);
+        let state = context.view.state(context.now, key);
+        let report = engine.report_of(incarnation);
+        let report = report.filter(|report| context.now.since(report.at) <= MAX_CONFIRMATION_AGE);
+        let report = report.filter(|_| matches!(state, State::Live | State::Suspect));
+        let report = report.ok_or(HoldReason::Unreported)?;
+        let Some(due) = engine::next_change(context.config, endpoint, &report.loaded) else {
             return Ok(None);
         };
-        self.check_self(scene, engine, endpoint)?;
-        match &engine.stage {
-            Stage::Loading { order, .. } if order.change == change => return Err(Hold::Waiting),
-            Stage::Resting { .. } => return Err(Hold::Waiting),
+        self.check_may_issue(context, engine, endpoint)?;
+        match &engine.phase {
+            Phase::Loading { order, .. } if order.change == due => return Err(HoldReason::Waiting),
+            Phase::BackingOff { .. } => return Err(HoldReason::Waiting),
             _ => {}
         }
-        pace::check(&scene, &self.engines, key)?;
-        Ok(Some(change))
+        pace::check(&context, &self.engines, key)?;
+        Ok(Some(due))
     }
 
-    /// Tells whether this router knows enough to give orders to an engine.
-    fn check_self(
+    /// Checks that this router knows enough to give orders to an engine.
+    fn check_may_issue(
         &self,
-        scene: Scene<'_>,
+        context: OrderContext<'_>,
         engine: &Engine,
         endpoint: &Endpoint,
-    ) -> Result<(), Hold> {
-        if !self.fresh {
-            return Err(Hold::NoNews);
+    ) -> Result<(), HoldReason> {
+        if !self.heard_since_wake {
+            return Err(HoldReason::NoNews);
         }
-        let revision = scene.config.revision;
+        let revision = context.config.revision;
         let behind = self.peers.values().any(|p| p.revision > revision);
-        if behind || fence(revision, engine.fence()).is_none() {
-            return Err(Hold::Behind);
+        if behind || next_fence(revision, engine.known_fence()).is_none() {
+            return Err(HoldReason::Behind);
         }
         if endpoint.fencing == Check::Checked {
             return Ok(());
         }
-        if !self.majority(scene) {
-            return Err(Hold::Minority);
+        if !self.hears_majority(context) {
+            return Err(HoldReason::Minority);
         }
-        let since = engine.issuer.map_or(Millis(0), |t| scene.now.since(t));
-        if since < hold_off(&scene.config.policy) {
-            return Err(Hold::HoldOff);
+        let since = engine
+            .issuer_since
+            .map_or(Millis(0), |t| context.now.since(t));
+        if since < hold_off(&context.config.policy) {
+            return Err(HoldReason::HoldOff);
         }
         Ok(())
     }
 
-    fn majority(&self, scene: Scene<'_>) -> bool {
-        let span = heard_for(&scene.config.policy);
+    fn hears_majority(&self, context: OrderContext<'_>) -> bool {
+        let span = peer_timeout(&context.config.policy);
         let others = self.peers.values();
-        let there = others.filter(|p| scene.now.since(p.at) <= span).count();
-        2 * (there + 1) > scene.config.fleet.len()
+        let there = others.filter(|p| context.now.since(p.at) <= span).count();
+        2 * (there + 1) > context.config.fleet.len()
     }
 
-    fn settled(&mut self, key: EndpointKey) {
+    fn on_up_to_date(&mut self, key: EndpointKey) {
         if let Some(engine) = self.engines.get_mut(key) {
             engine.tries = 0;
-            engine.held = None;
-            // A resting engine may have an order on its way still, whatever it shows.
-            if matches!(engine.stage, Stage::Loading { .. }) {
-                engine.stage = Stage::Idle;
+            engine.logged_hold = None;
+            // An engine in back-off may still get an order that is in transit, whatever it reports.
+            if matches!(engine.phase, Phase::Loading { .. }) {
+                engine.phase = Phase::Idle;
             }
         }
     }
 
-    fn hold(&mut self, endpoint: EndpointKey, hold: Hold, out: &mut Vec<Step>) {
+    fn log_hold(&mut self, endpoint: EndpointKey, hold: HoldReason, out: &mut Vec<OrderAction>) {
         let Some(engine) = self.engines.get_mut(endpoint) else {
             return;
         };
-        // An engine that can't be heard has its own lines, and may need no order at all.
-        if engine.held != Some(hold) && hold != Hold::Unreported {
-            engine.held = Some(hold);
-            out.push(Step::Held { endpoint, hold });
+        // An engine without reports is logged by its membership state, and may need no order.
+        if engine.logged_hold != Some(hold) && hold != HoldReason::Unreported {
+            engine.logged_hold = Some(hold);
+            out.push(OrderAction::LogHold { endpoint, hold });
         }
     }
 
-    fn number(&mut self) -> Number {
-        self.next = Number(self.next.0 + 1);
-        self.next
+    fn next_number(&mut self) -> OrderNumber {
+        self.last_number = OrderNumber(self.last_number.0 + 1);
+        self.last_number
     }
 
-    fn ask(
+    fn request_token(
         &mut self,
-        scene: Scene<'_>,
+        context: OrderContext<'_>,
         endpoint: EndpointKey,
         change: Change,
-        out: &mut Vec<Step>,
+        out: &mut Vec<OrderAction>,
     ) {
-        let number = self.number();
+        let number = self.next_number();
         let Some(engine) = self.engines.get_mut(endpoint) else {
             return;
         };
-        engine.stage = Stage::Asking {
+        engine.phase = Phase::RequestingToken {
             number,
-            at: scene.now,
+            at: context.now,
         };
-        self.asking = Some(endpoint);
-        out.push(Step::Ask {
+        self.requesting = Some(endpoint);
+        out.push(OrderAction::RequestToken {
             endpoint,
             number,
             change,
         });
     }
 
-    /// Gives the order for which a token was had. The world may have changed while it was asked
-    /// for; then the token is lost, which costs time and nothing else.
-    fn give(&mut self, scene: Scene<'_>, endpoint: EndpointKey, out: &mut Vec<Step>) {
-        if !self.is_issuer(scene, endpoint) {
+    /// Sends the order for which a token was granted. If the engine needs no order any more or must
+    /// wait, the token is lost, which only costs time.
+    fn send_order(
+        &mut self,
+        context: OrderContext<'_>,
+        endpoint: EndpointKey,
+        out: &mut Vec<OrderAction>,
+    ) {
+        if !self.is_issuer(context, endpoint) {
             return;
         }
-        let change = match self.check(scene, endpoint) {
+        let change = match self.due_change(context, endpoint) {
             Ok(Some(change)) => change,
             Ok(None) => return,
-            Err(hold) => return self.hold(endpoint, hold, out),
+            Err(hold) => return self.log_hold(endpoint, hold, out),
         };
-        let number = self.number();
-        let revision = scene.config.revision;
+        let number = self.next_number();
+        let revision = context.config.revision;
         let Some(engine) = self.engines.get_mut(endpoint) else {
             return;
         };
-        let Some(fence) = fence(revision, engine.fence()) else {
+        let Some(fence) = next_fence(revision, engine.known_fence()) else {
             return;
         };
         let order = Order {
@@ -572,14 +601,14 @@
             fence,
             revision,
             change,
-            not_after: scene.now + wake::MIN_PAUSE,
+            not_after: context.now + wake::MIN_PAUSE,
         };
-        engine.held = None;
-        engine.stage = Stage::Sent {
+        engine.logged_hold = None;
+        engine.phase = Phase::Sent {
             order: order.clone(),
-            at: scene.now,
+            at: context.now,
         };
-        out.push(Step::Give { endpoint, order });
+        out.push(OrderAction::SendOrder { endpoint, order });
     }
 }
 
@@ -587,15 +616,15 @@
     endpoint.kind == Kind::Engine
 }
 
-/// Makes the fencing number of an order under `revision` to an engine that holds `held`; `None`
-/// when that comes from a later revision.
-fn fence(revision: Revision, held: u64) -> Option<u64> {
-    let first = revision.0.checked_mul(FENCES)?;
+/// Makes the fencing number of an order under `revision` to an engine that holds the number `held`.
+/// Returns `None` if `held` belongs to a later revision or the revision's numbers are used up.
+fn next_fence(revision: Revision, held: u64) -> Option<u64> {
+    let first = revision.0.checked_mul(FENCES_PER_REVISION)?;
     let next = held.checked_add(1)?.max(first);
-    (next - first < FENCES).then_some(next)
+    (next - first < FENCES_PER_REVISION).then_some(next)
 }
 
-/// Draws a wait after the n-th failure ("full jitter").
+/// Draws a random wait after `failures` failures (exponential back-off with full jitter).
 fn backoff(failures: u32, rng: &mut impl Rng) -> Millis {
     let longest = BACKOFF_MIN.0.saturating_mul(1 << failures.min(16));
     Millis(rng.random_range(0..=longest.min(BACKOFF_MAX.0)))
--- a/crates/core/src/orders/pace.rs
+++ b/crates/core/src/orders/pace.rs
@@ -1,16 +1,18 @@
-//! How many engines of a model may load at once, without the issuers agreeing on it.
+//! Bounds the number of engines of a model that load at once, without coordination of the issuers.
 //!
-//! Each engine has its own issuer, so nobody counts the loads of a model. Instead, all issuers put
-//! the engines that don't hold what is published into the same order, and only the first of them
-//! may load. Under one revision engines only leave this queue, as they become right. So an issuer
-//! with old news sees a longer queue than there is and lets fewer load, never more: whoever loads
-//! was among the first then, and as long as it isn't right it still is. The bounds hold for certain
-//! while no engine falls behind its report (a crash, a later life) and views of who is down agree.
+//! Each engine has its own issuer, so no router counts the loads of a model. Instead, every issuer
+//! sorts the engines that don't match the published configuration into the same queue, and only the
+//! first [`MAX_CONCURRENT_LOADS`] of them may load. Under one revision, engines only leave this
+//! queue, when they match. So an issuer with old reports sees a queue that is too long and lets
+//! fewer engines load, never more: an engine that loads was among the first when it began, and
+//! stays among them until it matches.
+//! The bounds are guaranteed only while no engine loses what it reported (by a crash or restart)
+//! and the routers agree on which engines are down.
 
 use slotmap::SecondaryMap;
 
 use super::{
-    Hold, Scene,
+    HoldReason, OrderContext,
     engine::{
         self,
         Engine, //
@@ -27,119 +29,125 @@
 };
 
 /// Most engines of one model that load at once.
-pub const MAX_LOADING: usize = 2;
+pub const MAX_CONCURRENT_LOADS: usize = 2;
 
-/// `Place` is an engine's place in the queue. Those that serve nothing come first: to load them
-/// takes nothing away.
-type Place = (bool, Tag);
+/// `QueuePosition` sorts engines in the queue: whether the engine holds any model, then its tag.
+/// Engines without a model come first, because loading them removes no serving capacity.
+type QueuePosition = (bool, Tag);
 
-/// `Standing` is what the queue needs to know of one engine.
+/// `QueueEntry` is what the queue needs to know of one engine.
 #[derive(Clone, Copy, Debug)]
-struct Standing {
-    place: Place,
-    /// Whether it holds what is published.
-    right: bool,
-    /// Whether it takes requests for the model.
+struct QueueEntry {
+    position: QueuePosition,
+    /// Whether it matches the published configuration.
+    up_to_date: bool,
+    /// Whether it reports to hold the model.
     serves: bool,
 }
 
-fn standing(
-    scene: &Scene<'_>,
+fn queue_entry(
+    context: &OrderContext<'_>,
     engines: &SecondaryMap<EndpointKey, Engine>,
     model: ModelKey,
     (key, endpoint): (EndpointKey, &Endpoint),
-) -> Option<Standing> {
-    // One that leaves or is down loads nothing that could be waited for, and serves nobody.
-    let state = scene.view.state(scene.now, key);
+) -> Option<QueueEntry> {
+    // An engine that is leaving or down serves no requests, and a load of it can't be waited for.
+    let state = context.view.state(context.now, key);
     if matches!(state, State::Leaving | State::Down) {
         return None;
     }
-    let life = scene.view.incarnation(key);
-    let news = engines.get(key).and_then(|e| e.news(life));
-    let loaded = news.map(|n| &n.loaded);
-    let id = scene.config.models.get(model).map(|m| &m.id);
+    let incarnation = context.view.incarnation(key);
+    let report = engines.get(key).and_then(|e| e.report_of(incarnation));
+    let loaded = report.map(|r| &r.loaded);
+    let id = context.config.models.get(model).map(|m| &m.id);
     let holds = |l: &&std::sync::Arc<super::Loaded>| id.is_some_and(|id| l.models.contains(id));
-    let right = loaded.is_some_and(|l| engine::wanted(scene.config, endpoint, l).is_none());
-    Some(Standing {
-        place: (
+    let up_to_date =
+        loaded.is_some_and(|l| engine::next_change(context.config, endpoint, l).is_none());
+    Some(QueueEntry {
+        position: (
             loaded.is_some_and(|l| !l.models.is_empty()),
             endpoint.tag, //
         ),
-        right,
+        up_to_date,
         serves: loaded.filter(holds).is_some(),
     })
 }
 
-/// Tells whether an engine may load now, or why not.
+/// Checks the bounds on concurrent loads; gives the reason why an engine may not load now.
 pub(super) fn check(
-    scene: &Scene<'_>,
+    context: &OrderContext<'_>,
     engines: &SecondaryMap<EndpointKey, Engine>,
     endpoint: EndpointKey,
-) -> Result<(), Hold> {
-    let Some(target) = scene.config.endpoints.get(endpoint) else {
-        return Err(Hold::Unreported);
+) -> Result<(), HoldReason> {
+    let Some(target) = context.config.endpoints.get(endpoint) else {
+        return Err(HoldReason::Unreported);
     };
     let mut models = target.models.iter();
-    models.try_for_each(|model| check_model(scene, engines, *model, (endpoint, target)))
+    models.try_for_each(|model| check_model(context, engines, *model, (endpoint, target)))
 }
 
 fn check_model(
-    scene: &Scene<'_>,
+    context: &OrderContext<'_>,
     engines: &SecondaryMap<EndpointKey, Engine>,
     model: ModelKey,
     target: (EndpointKey, &Endpoint),
-) -> Result<(), Hold> {
-    let Some(own) = standing(scene, engines, model, target) else {
-        return Err(Hold::Unreported);
+) -> Result<(), HoldReason> {
+    let Some(own) = queue_entry(context, engines, model, target) else {
+        return Err(HoldReason::Unreported);
     };
-    let all = scene.config.endpoints.iter();
+    let all = context.config.endpoints.iter();
     let all = all.filter(|(_, e)| e.models.contains(&model));
     let others = all.filter(|(key, _)| *key != target.0);
-    let others = others.filter_map(|(key, e)| standing(scene, engines, model, (key, e)));
+    let others = others.filter_map(|(key, e)| queue_entry(context, engines, model, (key, e)));
     let mut ahead = 0;
     let mut serving = 0;
     for other in others {
-        // Whoever is ahead may be loading by its own issuer's order, and so may not be serving.
-        let may_load = !other.right && other.place < own.place;
+        // An engine that is ahead may be loading by order of its own issuer, and then doesn't serve.
+        let may_load = !other.up_to_date && other.position < own.position;
         ahead += usize::from(may_load);
         serving += usize::from(other.serves && !may_load);
     }
-    if ahead >= MAX_LOADING {
-        return Err(Hold::Pace);
+    if ahead >= MAX_CONCURRENT_LOADS {
+        return Err(HoldReason::Pace);
     }
-    let least = scene.config.models.get(model).map_or(0, |m| m.min_replicas);
+    let least = context
+        .config
+        .models
+        .get(model)
+        .map_or(0, |m| m.min_replicas);
     let enough = serving >= usize::try_from(least).unwrap_or(usize::MAX);
     if own.serves && !enough {
-        return Err(Hold::MinReplicas);
+        return Err(HoldReason::MinReplicas);
     }
     Ok(())
 }
 
-/// Lists the engines whose news is needed before one may load: those of its models that may be
-/// ahead of it and were not heard since `since`, and those that were never heard in this life.
-pub(super) fn unknown(
-    scene: &Scene<'_>,
+/// Lists the engines to poll before an engine may load: those that share a model with it and have
+/// sent no report in their present incarnation, or sent none since `since` and did not match the
+/// published configuration then.
+pub(super) fn stale_engines(
+    context: &OrderContext<'_>,
     engines: &SecondaryMap<EndpointKey, Engine>,
     endpoint: EndpointKey,
     since: crate::units::Time,
 ) -> Vec<EndpointKey> {
-    let Some(target) = scene.config.endpoints.get(endpoint) else {
+    let Some(target) = context.config.endpoints.get(endpoint) else {
         return Vec::new();
     };
     let shared = |e: &Endpoint| e.models.iter().any(|m| target.models.contains(m));
-    let all = scene.config.endpoints.iter();
+    let all = context.config.endpoints.iter();
     let all = all.filter(|(_, e)| shared(e));
     let stale = |(key, e): (EndpointKey, &std::sync::Arc<Endpoint>)| {
-        let state = scene.view.state(scene.now, key);
+        let state = context.view.state(context.now, key);
         if matches!(state, State::Leaving | State::Down) {
             return None;
         }
-        let life = scene.view.incarnation(key);
-        let Some(news) = engines.get(key).and_then(|e| e.news(life)) else {
+        let incarnation = context.view.incarnation(key);
+        let Some(report) = engines.get(key).and_then(|e| e.report_of(incarnation)) else {
             return Some((None, e.tag, key));
         };
-        let right = engine::wanted(scene.config, e, &news.loaded).is_none();
-        (!right && news.at < since).then_some((Some(news.at), e.tag, key))
+        let up_to_date = engine::next_change(context.config, e, &report.loaded).is_none();
+        (!up_to_date && report.at < since).then_some((Some(report.at), e.tag, key))
     };
     let mut stale: Vec<_> = all.filter_map(stale).collect();
     stale.sort_unstable();
--- a/crates/core/tests/orders/issue.rs
+++ b/crates/core/tests/orders/issue.rs
@@ -3,9 +3,9 @@
 use googletest::prelude::*;
 use toucanturn_core::{
     orders::{
-        FENCES,
-        Hold,
-        LOAD_TIME,
+        FENCES_PER_REVISION,
+        HoldReason,
+        LOAD_TIMEOUT,
         hold_off, //
     },
     units::Millis,
@@ -42,7 +42,7 @@
     expect_that!(world.given, len(eq(6)));
     for given in &world.given {
         expect_that!(given.router, eq(world.issuers(given.engine).0));
-        expect_that!(given.order.fence, eq(2 * FENCES));
+        expect_that!(given.order.fence, eq(2 * FENCES_PER_REVISION));
     }
 }
 
@@ -61,7 +61,7 @@
     world.run(Millis(hold_off(&policy).0 + 5000));
     expect_that!(world.given, len(eq(1)));
     world.mute = false;
-    world.run(LOAD_TIME);
+    world.run(LOAD_TIMEOUT);
     expect_that!(world.versions(), each(eq(&"v2")));
 }
 
@@ -134,6 +134,6 @@
             each(field!(&crate::world::Given.router, eq(second)))
         );
         let held: Vec<_> = world.routers[first].holds.iter().map(|h| h.1).collect();
-        expect_that!(held, contains(eq(&Hold::NoNews)));
+        expect_that!(held, contains(eq(&HoldReason::NoNews)));
     }
 }
--- a/crates/core/tests/orders/pace.rs
+++ b/crates/core/tests/orders/pace.rs
@@ -3,8 +3,8 @@
 use googletest::prelude::*;
 use toucanturn_core::{
     orders::{
-        Hold,
-        pace::MAX_LOADING, //
+        HoldReason,
+        pace::MAX_CONCURRENT_LOADS, //
     },
     units::Millis,
 };
@@ -40,7 +40,7 @@
         let world = rollout(Setup { fenced, ..POOL }, Millis::from_secs(90));
         expect_that!(world.versions(), each(eq(&"v2")));
         expect_that!(world.given, len(eq(12)));
-        expect_that!(world.most_loading, eq(MAX_LOADING));
+        expect_that!(world.most_loading, eq(MAX_CONCURRENT_LOADS));
         let polls: usize = world.routers.iter().map(|r| r.polls).sum();
         println!("{polls} polls by 7 routers in 105 s");
     }
@@ -72,7 +72,10 @@
         .routers
         .iter()
         .flat_map(|r| r.holds.iter().map(|h| h.1));
-    expect_that!(holds.collect::<Vec<_>>(), contains(eq(&Hold::MinReplicas)));
+    expect_that!(
+        holds.collect::<Vec<_>>(),
+        contains(eq(&HoldReason::MinReplicas))
+    );
 }
 
 #[gtest]
@@ -89,7 +92,7 @@
     }
     world.run(Millis::from_secs(60));
     expect_that!(world.versions(), each(eq(&"v1")));
-    expect_that!(world.most_loading, le(MAX_LOADING));
+    expect_that!(world.most_loading, le(MAX_CONCURRENT_LOADS));
 }
 
 #[gtest]
--- a/crates/core/tests/orders/views.rs
+++ b/crates/core/tests/orders/views.rs
@@ -3,11 +3,11 @@
 use googletest::prelude::*;
 use toucanturn_core::{
     orders::{
-        Hold,
+        HoldReason,
         ORDER_TIMEOUT,
-        Reply,
-        heard_for,
+        OrderOutcome,
         hold_off, //
+        peer_timeout,
     },
     units::Millis,
 };
@@ -39,7 +39,7 @@
     expect_that!(world.given, len(eq(1)));
     expect_that!(world.given[0].router, eq(second));
     let held: Vec<_> = world.routers[first].holds.iter().map(|h| h.1).collect();
-    expect_that!(held, eq(&vec![Hold::Behind]));
+    expect_that!(held, eq(&vec![HoldReason::Behind]));
 }
 
 #[gtest]
@@ -63,8 +63,8 @@
     let by: Vec<_> = world.given.iter().map(|g| g.router).collect();
     expect_that!(by, eq(&vec![first, second]));
     let fence = world.given[1].order.fence;
-    expect_that!(world.given[0].reply, some(eq(Reply::Fenced(fence))));
-    expect_that!(world.given[1].reply, some(eq(Reply::Obeyed)));
+    expect_that!(world.given[0].reply, some(eq(OrderOutcome::Fenced(fence))));
+    expect_that!(world.given[1].reply, some(eq(OrderOutcome::Obeyed)));
     expect_that!(world.versions(), each(eq(&"v2")));
 }
 
@@ -82,7 +82,7 @@
     expect_that!(world.given, len(eq(1)));
     expect_that!(world.given[0].router, eq(second));
     let policy = world.routers[first].config.policy.clone();
-    let earliest = heard_for(&policy) + hold_off(&policy);
+    let earliest = peer_timeout(&policy) + hold_off(&policy);
     expect_that!(world.given[0].at.since(cut), ge(Millis(earliest.0 - 200)));
 }
 
--- a/crates/core/tests/orders/world.rs
+++ b/crates/core/tests/orders/world.rs
@@ -27,15 +27,15 @@
     },
     orders::{
         Change,
-        Grant,
-        Hold,
+        HoldReason,
         Loaded,
-        Number,
         Order,
-        Orders,
-        Reply,
-        Scene,
-        Step, //
+        OrderAction, //
+        OrderContext,
+        OrderNumber,
+        OrderOutcome,
+        OrderScheduler,
+        TokenReply,
     },
     units::{
         Incarnation,
@@ -91,14 +91,14 @@
 
 /// `Router` is one router.
 pub(crate) struct Router {
-    pub(crate) orders: Orders,
+    pub(crate) orders: OrderScheduler,
     pub(crate) view: View,
     pub(crate) config: Arc<Config>,
     pub(crate) asleep: bool,
     /// Whether it hears peers and they it.
     pub(crate) cut: bool,
     rng: StdRng,
-    pub(crate) holds: Vec<(Time, Hold)>,
+    pub(crate) holds: Vec<(Time, HoldReason)>,
     pub(crate) polls: usize,
 }
 
@@ -110,7 +110,7 @@
     pub(crate) engine: usize,
     pub(crate) order: Order,
     /// The engine's answer.
-    pub(crate) reply: Option<Reply>,
+    pub(crate) reply: Option<OrderOutcome>,
     /// The revision that the router had in force when it sent it.
     pub(crate) in_force: Revision,
 }
@@ -120,15 +120,15 @@
     Order {
         given: usize,
     },
-    Reply {
+    OrderOutcome {
         given: usize,
-        reply: Reply,
+        reply: OrderOutcome,
     },
-    Grant {
+    TokenReply {
         router: usize,
         engine: usize,
-        number: Number,
-        grant: Grant,
+        number: OrderNumber,
+        grant: TokenReply,
     },
 }
 
@@ -226,7 +226,7 @@
 
     fn router(&self, n: usize, config: &Arc<Config>) -> Router {
         let mut router = Router {
-            orders: Orders::default(),
+            orders: OrderScheduler::default(),
             view: View::default(),
             config: Arc::clone(config),
             asleep: false,
@@ -361,11 +361,11 @@
     fn with<T>(
         &mut self,
         n: usize,
-        call: impl FnOnce((&mut Orders, &mut StdRng), Scene<'_>) -> T,
+        call: impl FnOnce((&mut OrderScheduler, &mut StdRng), OrderContext<'_>) -> T,
     ) -> T {
         let (now, me) = (self.now, self.fleet[n]);
         let router = &mut self.routers[n];
-        let scene = Scene {
+        let scene = OrderContext {
             config: &router.config,
             me: Some(me),
             view: &router.view,
@@ -418,17 +418,17 @@
         at.expect("an engine")
     }
 
-    fn carry_out(&mut self, n: usize, steps: Vec<Step>) {
+    fn carry_out(&mut self, n: usize, steps: Vec<OrderAction>) {
         for step in steps {
             match step {
-                Step::Poll(key) => self.poll(n, self.engine(key)),
-                Step::Held { hold, .. } => self.routers[n].holds.push((self.now, hold)),
-                Step::Ask {
+                OrderAction::Poll(key) => self.poll(n, self.engine(key)),
+                OrderAction::LogHold { hold, .. } => self.routers[n].holds.push((self.now, hold)),
+                OrderAction::RequestToken {
                     endpoint, number, ..
                 } => {
                     let grant = self.token();
                     let engine = self.engine(endpoint);
-                    let flight = Flight::Grant {
+                    let flight = Flight::TokenReply {
                         router: n,
                         engine,
                         number,
@@ -436,7 +436,7 @@
                     };
                     self.fly(flight);
                 }
-                Step::Give { endpoint, order } => {
+                OrderAction::SendOrder { endpoint, order } => {
                     self.given.push(Given {
                         at: self.now,
                         router: n,
@@ -457,15 +457,15 @@
         self.flights.push((at, flight));
     }
 
-    fn token(&mut self) -> Grant {
+    fn token(&mut self) -> TokenReply {
         let next = self.stored + Millis(self.setup.token);
         if self.now < next {
             self.over_rate += 1;
-            return Grant::Wait(next.since(self.now));
+            return TokenReply::Wait(next.since(self.now));
         }
         self.stored = self.now;
         self.tokens.push(self.now);
-        Grant::Token
+        TokenReply::Token
     }
 
     fn land(&mut self) {
@@ -475,16 +475,16 @@
         for flight in due {
             match flight {
                 Flight::Order { given } => self.obey(given),
-                Flight::Reply { given, reply } => {
+                Flight::OrderOutcome { given, reply } => {
                     let Given { router, engine, .. } = self.given[given];
                     let number = self.given[given].order.number;
                     let key = self.keys[engine];
                     self.given[given].reply = Some(reply);
                     self.with(router, |(orders, rng), scene| {
-                        orders.ended(scene, (key, number), reply, rng)
+                        orders.on_order_outcome(scene, (key, number), reply, rng)
                     });
                 }
-                Flight::Grant {
+                Flight::TokenReply {
                     router,
                     engine,
                     number,
@@ -493,7 +493,7 @@
                     let key = self.keys[engine];
                     let mut out = Vec::new();
                     self.with(router, |(orders, rng), scene| {
-                        orders.granted(scene, (key, number), grant, rng, &mut out);
+                        orders.on_token_reply(scene, (key, number), grant, rng, &mut out);
                     });
                     self.carry_out(router, out);
                 }
@@ -507,19 +507,19 @@
         let until = self.now + Millis(self.setup.load);
         let engine = &mut self.engines[one.engine];
         let reply = if engine.down {
-            Reply::NotSent
+            OrderOutcome::NotSent
         } else if fenced && one.order.fence <= engine.fence {
-            Reply::Fenced(engine.fence)
+            OrderOutcome::Fenced(engine.fence)
         } else {
             // One that ignores the number doesn't keep it either: nothing may rest on its report.
             if fenced {
                 engine.fence = one.order.fence;
             }
             engine.loading = Some((one.order.change, until));
-            Reply::Obeyed
+            OrderOutcome::Obeyed
         };
         if !self.mute {
-            self.fly(Flight::Reply { given, reply });
+            self.fly(Flight::OrderOutcome { given, reply });
         }
     }
 
--- a/crates/core/tests/orders_node.rs
+++ b/crates/core/tests/orders_node.rs
@@ -19,10 +19,10 @@
     node::Node,
     orders::{
         Change,
-        Grant,
         Loaded,
         Order,
-        Reply,
+        OrderOutcome,
+        TokenReply,
         hold_off, //
     },
     peer,
@@ -101,7 +101,7 @@
             Action::AskWeights {
                 endpoint, number, ..
             } => {
-                let grant = Grant::Token;
+                let grant = TokenReply::Token;
                 Some(Event::Weights {
                     endpoint,
                     number,
@@ -113,7 +113,7 @@
                 let held = self.versions.iter_mut().find(|v| v.0 == endpoint)?;
                 held.1 = order.change.weights().1.clone();
                 self.given.push(order);
-                let reply = Reply::Obeyed;
+                let reply = OrderOutcome::Obeyed;
                 Some(Event::OrderEnded {
                     endpoint,
                     number,
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -24,7 +24,7 @@
         Id,
         Tag, //
     },
-    orders::Reply,
+    orders::OrderOutcome,
     request::Call, //
 };
 
@@ -232,7 +232,7 @@
         ),
         Decision::OrderEnded { endpoint: e, reply } => {
             let held_fence = match reply {
-                Reply::Fenced(fence) => Some(*fence),
+                OrderOutcome::Fenced(fence) => Some(*fence),
                 _ => None,
             };
             event!(
--- a/crates/router/src/orders.rs
+++ b/crates/router/src/orders.rs
@@ -25,11 +25,11 @@
     ids::Id,
     orders::{
         Change,
-        Grant,
-        Number,
         ORDER_TIMEOUT,
         Order,
-        Reply, //
+        OrderNumber,
+        OrderOutcome, //
+        TokenReply,
     },
     units::Millis,
 };
@@ -72,7 +72,12 @@
 }
 
 /// Asks the weight store for the token of a load.
-pub(crate) fn ask(driver: &Arc<Driver>, endpoint: EndpointKey, number: Number, change: Change) {
+pub(crate) fn ask(
+    driver: &Arc<Driver>,
+    endpoint: EndpointKey,
+    number: OrderNumber,
+    change: Change,
+) {
     let driver = Arc::clone(driver);
     tokio::spawn(async move {
         let grant = weights(&driver, &change).await;
@@ -84,23 +89,25 @@
     });
 }
 
-async fn weights(driver: &Driver, change: &Change) -> Grant {
+async fn weights(driver: &Driver, change: &Change) -> TokenReply {
     // The weight store is a part of the platform and has no address of its own in the settings.
     let address = driver.config_service.next();
     let (model, version) = change.weights();
     let url = format!("http://{address}/v1/weights/{model}/{version}");
     let asked = driver.control.get(url).timeout(TIMEOUT).send().await;
     let Ok(response) = asked else {
-        return Grant::Failed;
+        return TokenReply::Failed;
     };
     match response.status() {
-        StatusCode::OK => Grant::Token,
+        StatusCode::OK => TokenReply::Token,
         StatusCode::TOO_MANY_REQUESTS => {
             let after = answers::number::<u64>(response.headers(), "retry-after");
             let seconds = after.map(|s| s.min(MAX_RETRY_AFTER));
-            seconds.map_or(Grant::Failed, |s| Grant::Wait(Millis::from_secs(s)))
+            seconds.map_or(TokenReply::Failed, |s| {
+                TokenReply::Wait(Millis::from_secs(s))
+            })
         }
-        _ => Grant::Failed,
+        _ => TokenReply::Failed,
     }
 }
 
@@ -110,7 +117,7 @@
     tokio::spawn(async move {
         let number = order.number;
         let sent = tokio::time::timeout(TIMEOUT, give(&driver, endpoint, &order));
-        let reply = sent.await.unwrap_or(Reply::Unknown);
+        let reply = sent.await.unwrap_or(OrderOutcome::Unknown);
         driver.feed(Event::OrderEnded {
             endpoint,
             number,
@@ -119,10 +126,10 @@
     });
 }
 
-async fn give(driver: &Driver, endpoint: EndpointKey, order: &Order) -> Reply {
+async fn give(driver: &Driver, endpoint: EndpointKey, order: &Order) -> OrderOutcome {
     let config = driver.config();
     let (Some(target), Some(body)) = (config.endpoints.get(endpoint), body(order)) else {
-        return Reply::NotSent;
+        return OrderOutcome::NotSent;
     };
     let mut headers = HeaderMap::new();
     let json = HeaderValue::from_static("application/json");
@@ -141,8 +148,8 @@
     let answer = driver.endpoints.send_once(target, outgoing, stands).await;
     match answer {
         Ok(response) => read(response).await,
-        Err(Failure::NotSent) => Reply::NotSent,
-        Err(Failure::MaybeSent) => Reply::Unknown,
+        Err(Failure::NotSent) => OrderOutcome::NotSent,
+        Err(Failure::MaybeSent) => OrderOutcome::Unknown,
     }
 }
 
@@ -156,18 +163,18 @@
     raw.ok().map(Bytes::from)
 }
 
-async fn read(mut response: reqwest::Response) -> Reply {
+async fn read(mut response: reqwest::Response) -> OrderOutcome {
     let status = response.status();
     if status.is_success() {
-        return Reply::Obeyed;
+        return OrderOutcome::Obeyed;
     }
     if status != StatusCode::CONFLICT {
         // An engine that fails may have begun to obey.
         let failed = status.is_server_error();
         return if failed {
-            Reply::Unknown
+            OrderOutcome::Unknown
         } else {
-            Reply::Refused
+            OrderOutcome::Refused
         };
     }
     let mut body = Vec::new();
@@ -178,5 +185,5 @@
         }
     }
     let refusal = serde_json::from_slice::<RawRefusal>(&body);
-    refusal.map_or(Reply::Refused, |r| Reply::Fenced(r.fence))
+    refusal.map_or(OrderOutcome::Refused, |r| OrderOutcome::Fenced(r.fence))
 }
--- a/crates/router/tests/catalogue/decisions.rs
+++ b/crates/router/tests/catalogue/decisions.rs
@@ -12,10 +12,10 @@
     membership::State,
     orders::{
         Change,
-        Hold,
-        Number,
+        HoldReason,
         Order,
-        Reply, //
+        OrderNumber,
+        OrderOutcome, //
     },
     request::{
         Attempt,
@@ -112,7 +112,7 @@
 
 fn order() -> Order {
     Order {
-        number: Number(3),
+        number: OrderNumber(3),
         fence: 5,
         revision: Revision(42),
         change: Change::LoadVersion {
@@ -189,15 +189,15 @@
         },
         Decision::OrderHeld {
             endpoint,
-            hold: Hold::MinReplicas,
+            hold: HoldReason::MinReplicas,
         },
         Decision::OrderEnded {
             endpoint,
-            reply: Reply::Obeyed,
+            reply: OrderOutcome::Obeyed,
         },
         Decision::OrderEnded {
             endpoint,
-            reply: Reply::Fenced(7),
+            reply: OrderOutcome::Fenced(7),
         },
     ]
 }
--- a/crates/router/tests/catalogue/events.rs
+++ b/crates/router/tests/catalogue/events.rs
@@ -9,7 +9,7 @@
 use strum::IntoEnumIterator;
 use toucanturn_core::{
     ids::Tag,
-    orders::Hold,
+    orders::HoldReason,
     request::{
         Call,
         Code,
@@ -157,7 +157,7 @@
     expect_that!(names("Of a placement"), container_eq(reasons));
     let codes: Vec<_> = Code::iter().map(|c| c.to_string()).collect();
     expect_that!(names("Of a refusal"), container_eq(codes));
-    let holds: Vec<_> = Hold::iter().map(|h| h.to_string()).collect();
+    let holds: Vec<_> = HoldReason::iter().map(|h| h.to_string()).collect();
     expect_that!(names("Of an order that is held"), container_eq(holds));
 }
 
--- a/crates/router/tests/orders.rs
+++ b/crates/router/tests/orders.rs
@@ -15,7 +15,7 @@
     json, //
 };
 use toucanturn_core::{
-    orders::FENCES,
+    orders::FENCES_PER_REVISION,
     settings::Settings,
     units::Incarnation, //
 };
@@ -127,7 +127,10 @@
             "{given:?}"
         );
         let fences: Vec<_> = given.iter().filter_map(|o| o["fence"].as_u64()).collect();
-        expect_that!(fences, eq(&vec![FENCES, 2 * FENCES]));
+        expect_that!(
+            fences,
+            eq(&vec![FENCES_PER_REVISION, 2 * FENCES_PER_REVISION])
+        );
     }
     let calls = get(platform.control, "/calls").await;
     println!("{calls}");
