--- a/crates/core/src/config/build.rs
+++ b/crates/core/src/config/build.rs
@@ -1,9 +1,10 @@
 //! Builds the next configuration from the one in force and the entries that changed.
 //!
-//! Only changed entries are parsed. Unchanged ones keep their checked values and every name keeps
-//! its arena key, so that what the node knows by key (loads, views, limits) outlives a revision.
-//! The result depends on the content alone, not on the steps that led to it: removals come first,
-//! then what others refer to, then what refers to it, then [`cross`] over the whole.
+//! Only changed entries are parsed. Unchanged ones keep their checked values, and every name keeps
+//! its arena key, so that state which the node keeps by key (loads, views, limits) remains valid in
+//! the next revision. The result depends on the content alone and not on the earlier revisions:
+//! deletions are applied first, then entries that others refer to, then those that refer to them,
+//! and the checks of [`cross`] run last.
 
 use std::{
     collections::HashSet,
@@ -24,7 +25,7 @@
     key::Key,
     object::Object,
     raw::{
-        MAX_VALUE,
+        MAX_VALUE_BYTES,
         Value, //
     },
     reference, //
@@ -36,21 +37,21 @@
     units::Revision, //
 };
 
-/// `Touched` says which parts of a configuration differ from the old one.
+/// `ChangedParts` says which parts of the new configuration differ from the old one.
 #[derive(Debug, Default)]
-pub(super) struct Touched {
+pub(super) struct ChangedParts {
     pub(super) policy: bool,
     pub(super) fleet: bool,
     pub(super) services: bool,
     pub(super) endpoints: bool,
     pub(super) workspaces: bool,
-    /// A model or service was taken out.
+    /// Whether a model or service was deleted.
     pub(super) removed: bool,
 }
 
-/// `Changed` holds the changed entries by kind.
+/// `ChangedEntries` holds the changed entries by kind.
 #[derive(Default)]
-struct Changed<'a> {
+struct ChangedEntries<'a> {
     policy: Option<&'a Entry>,
     fleet: Option<&'a Entry>,
     models: Vec<(Id, &'a Entry)>,
@@ -59,7 +60,7 @@
     workspaces: Vec<(Id, &'a Entry)>,
 }
 
-/// Builds the configuration at `revision`, in which `old` was overwritten with `entries`.
+/// Builds the configuration at `revision`: `old` overwritten with `entries`.
 ///
 /// # Errors
 ///
@@ -70,16 +71,16 @@
     entries: impl Iterator<Item = &'a Entry>,
 ) -> Result<Config, Vec<Fault>> {
     let mut faults = Faults::default();
-    let changed = sort(entries, &mut faults);
+    let changed = sort_by_kind(entries, &mut faults);
     let mut next = old.clone();
     next.revision = revision;
-    let touched = Touched {
+    let touched = ChangedParts {
         policy: changed.policy.is_some(),
         fleet: changed.fleet.is_some(),
         services: !changed.services.is_empty(),
         endpoints: !changed.endpoints.is_empty(),
         workspaces: !changed.workspaces.is_empty(),
-        removed: take_out(&changed, &mut next),
+        removed: remove_deleted(&changed, &mut next),
     };
     if let Some(e) = changed.policy {
         next.policy = Arc::new(policy(e, &mut faults));
@@ -92,36 +93,39 @@
         let path = format!("models/{id}");
         if let Some(o) = open(&path, value, &mut faults) {
             let model = entry::model(id, o);
-            put(&mut next.models, &path, id, model, &mut faults);
+            insert(&mut next.models, &path, id, model, &mut faults);
         }
     }
     for (id, value) in live(&changed.services) {
         let path = format!("services/{id}");
         if let Some(o) = open(&path, value, &mut faults) {
             let service = entry::service(id, o);
-            put(&mut next.services, &path, id, service, &mut faults);
+            insert(&mut next.services, &path, id, service, &mut faults);
         }
     }
     for (id, value) in live(&changed.endpoints) {
         let path = format!("endpoints/{id}");
         let object = open(&path, value, &mut faults);
         if let Some(endpoint) = object.and_then(|o| entry::endpoint(id, o, &next)) {
-            put(&mut next.endpoints, &path, id, endpoint, &mut faults);
+            insert(&mut next.endpoints, &path, id, endpoint, &mut faults);
         }
     }
     for (id, value) in live(&changed.workspaces) {
         let path = format!("workspaces/{id}");
         if let Some(o) = open(&path, value, &mut faults) {
             let workspace = entry::workspace(id, o, &next);
-            put(&mut next.workspaces, &path, id, workspace, &mut faults);
+            insert(&mut next.workspaces, &path, id, workspace, &mut faults);
         }
     }
     cross::check(old, &next, &touched, &mut faults);
     faults.or(next)
 }
 
-fn sort<'a>(entries: impl Iterator<Item = &'a Entry>, faults: &mut Faults) -> Changed<'a> {
-    let mut out = Changed::default();
+fn sort_by_kind<'a>(
+    entries: impl Iterator<Item = &'a Entry>,
+    faults: &mut Faults,
+) -> ChangedEntries<'a> {
+    let mut out = ChangedEntries::default();
     for entry in entries {
         match Key::try_from(&entry.key[..]) {
             Ok(Key::Policy) => out.policy = Some(entry),
@@ -140,25 +144,25 @@
     out
 }
 
-/// Takes deleted things out; tells whether others may have referred to one.
-fn take_out(changed: &Changed<'_>, next: &mut Config) -> bool {
+/// Removes deleted entries; returns whether other entries may have referred to one of them.
+fn remove_deleted(changed: &ChangedEntries<'_>, next: &mut Config) -> bool {
     let mut removed = false;
-    for id in dead(&changed.models) {
+    for id in deleted(&changed.models) {
         removed |= next.models.remove(id).is_some();
     }
-    for id in dead(&changed.services) {
+    for id in deleted(&changed.services) {
         removed |= next.services.remove(id).is_some();
     }
-    for id in dead(&changed.endpoints) {
+    for id in deleted(&changed.endpoints) {
         next.endpoints.remove(id);
     }
-    for id in dead(&changed.workspaces) {
+    for id in deleted(&changed.workspaces) {
         next.workspaces.remove(id);
     }
     removed
 }
 
-fn dead<'a>(entries: &'a [(Id, &Entry)]) -> impl Iterator<Item = &'a Id> {
+fn deleted<'a>(entries: &'a [(Id, &Entry)]) -> impl Iterator<Item = &'a Id> {
     let gone = entries.iter().filter(|(_, e)| e.value.is_none());
     gone.map(|(id, _)| id)
 }
@@ -169,7 +173,7 @@
 }
 
 fn open<'a>(path: &str, value: &Bytes, faults: &'a mut Faults) -> Option<Object<'a>> {
-    let value = Value::parse(path, value, MAX_VALUE, faults)?;
+    let value = Value::parse(path, value, MAX_VALUE_BYTES, faults)?;
     Object::new(path, value, faults)
 }
 
@@ -183,7 +187,7 @@
         faults.add("fleet", "nothing", "a published fleet");
         return;
     };
-    let Some(value) = Value::parse("fleet", value, MAX_VALUE, faults) else {
+    let Some(value) = Value::parse("fleet", value, MAX_VALUE_BYTES, faults) else {
         return;
     };
     let routers = entry::fleet(value, faults);
@@ -195,13 +199,13 @@
     }
     for router in routers {
         let id = router.id.clone();
-        put(&mut next.fleet, &format!("fleet.{id}"), &id, router, faults);
+        insert(&mut next.fleet, &format!("fleet.{id}"), &id, router, faults);
     }
 }
 
-/// Puts a thing in unless another name has the same tag: peers name things by tag, and would take
-/// the one for the other.
-fn put<K: slotmap::Key, V>(
+/// Inserts a value unless another name has the same tag: messages between peers contain tags
+/// instead of names, so two names with one tag would be confused.
+fn insert<K: slotmap::Key, V>(
     arena: &mut Arena<K, V>,
     path: &str,
     id: &Id,
@@ -217,14 +221,14 @@
     arena.put(id, Arc::new(value));
 }
 
-/// Checks the published content as a whole that is not in `Config`: its size.
+/// Checks the total size of the published content, which `Config` does not contain.
 pub(super) fn check_size(bytes: usize) -> Option<Fault> {
-    (bytes > reference::MAX_CONTENT).then(|| Fault {
+    (bytes > reference::MAX_CONTENT_BYTES).then(|| Fault {
         path: String::new(),
         found: format!("{bytes} bytes"),
         expected: format!(
             "at most {} bytes of keys and values",
-            reference::MAX_CONTENT
+            reference::MAX_CONTENT_BYTES
         ),
     })
 }
--- a/crates/core/src/config/cross.rs
+++ b/crates/core/src/config/cross.rs
@@ -1,7 +1,7 @@
-//! What needs more than one entry to tell.
+//! Checks that need more than one entry, such as unique addresses and valid references.
 //!
 //! Each check runs over the whole configuration, but only if an entry that it reads has changed.
-//! docs/design/configuration.md gives what that costs and why no index is kept.
+//! docs/design/configuration.md explains the cost and why no index is kept.
 
 use std::hash::Hash;
 
@@ -9,13 +9,13 @@
 
 use super::{
     Config,
-    build::Touched,
+    build::ChangedParts,
     fault::Faults,
     reference as r, //
 };
 use crate::arena::Arena;
 
-pub(super) fn check(old: &Config, next: &Config, touched: &Touched, faults: &mut Faults) {
+pub(super) fn check(old: &Config, next: &Config, touched: &ChangedParts, faults: &mut Faults) {
     counts(next, faults);
     if touched.fleet || touched.endpoints {
         addresses(next, faults);
@@ -51,7 +51,7 @@
     }
 }
 
-/// `Unique` finds values that stand in two places.
+/// `Unique` finds values that occur in two places.
 struct Unique<K, P> {
     seen: IndexMap<K, P>,
 }
@@ -62,7 +62,7 @@
         Self { seen }
     }
 
-    /// Notes a value and its place; gives the earlier place if there is one.
+    /// Records a value and its place; returns the earlier place of the value if it has one.
     fn note(&mut self, value: K, place: P) -> Option<&P> {
         match self.seen.entry(value) {
             indexmap::map::Entry::Occupied(entry) => Some(entry.into_mut()),
@@ -117,7 +117,7 @@
 
 fn service_paths(next: &Config, faults: &mut Faults) {
     let mut unique = Unique::with_capacity(next.services.len());
-    // An empty path stands for one that was refused already.
+    // An empty path marks one that was refused before.
     let services = next.services.iter().filter(|(_, s)| !s.path.is_empty());
     for (_, service) in services {
         if let Some(other) = unique.note(service.path.clone(), &service.id) {
@@ -128,7 +128,8 @@
     }
 }
 
-/// One key means one workspace, else a caller's requests count against another's limit.
+/// Checks that no two workspaces share a key: a caller's requests would count against the limit of
+/// the other workspace.
 fn key_hashes(next: &Config, faults: &mut Faults) {
     let mut unique = Unique::with_capacity(next.workspaces.len());
     for (_, workspace) in next.workspaces.iter() {
@@ -142,31 +143,31 @@
     }
 }
 
-/// Finds what still refers to a model or service that was taken out.
+/// Finds references to models and services that were deleted.
 fn references(old: &Config, next: &Config, faults: &mut Faults) {
     for (_, endpoint) in next.endpoints.iter() {
         let path = |field| format!("endpoints/{}.{field}", endpoint.id);
-        gone(&old.models, &next.models, &endpoint.models, faults, |i| {
+        find_deleted(&old.models, &next.models, &endpoint.models, faults, |i| {
             path(format!("models[{i}]"))
         });
         let service = endpoint.service.as_slice();
-        gone(&old.services, &next.services, service, faults, |_| {
+        find_deleted(&old.services, &next.services, service, faults, |_| {
             path("service".to_owned())
         });
     }
     for (_, workspace) in next.workspaces.iter() {
         let path = |field: &str, i| format!("workspaces/{}.{field}[{i}]", workspace.id);
-        gone(&old.models, &next.models, &workspace.models, faults, |i| {
+        find_deleted(&old.models, &next.models, &workspace.models, faults, |i| {
             path("models", i)
         });
         let services = &workspace.services;
-        gone(&old.services, &next.services, services, faults, |i| {
+        find_deleted(&old.services, &next.services, services, faults, |i| {
             path("services", i)
         });
     }
 }
 
-fn gone<K: slotmap::Key, V>(
+fn find_deleted<K: slotmap::Key, V>(
     old: &Arena<K, V>,
     next: &Arena<K, V>,
     keys: &[K],
@@ -174,7 +175,7 @@
     path: impl Fn(usize) -> String,
 ) {
     for (i, key) in keys.iter().enumerate() {
-        // A null key is a name that was refused already.
+        // A null key marks a name that was refused before.
         if key.is_null() || next.get(*key).is_some() {
             continue;
         }
--- a/crates/core/src/config/document.rs
+++ b/crates/core/src/config/document.rs
@@ -1,7 +1,7 @@
-//! A whole configuration in one file, as operators write and check it before they publish.
+//! Reads a whole configuration from one file, which operators check before they publish it.
 //!
 //! The file is one object: `policy` and `fleet` hold the values of these keys; `models`,
-//! `services`, `endpoints` and `workspaces` hold the values of `models/NAME` and so on by name.
+//! `services`, `endpoints` and `workspaces` map each NAME to the value of `models/NAME` and so on.
 
 use bytes::Bytes;
 
@@ -14,28 +14,28 @@
     },
     key,
     raw::Value,
-    reference::MAX_CONTENT, //
+    reference::MAX_CONTENT_BYTES, //
 };
 use crate::{
     peer::Entry,
     units::Revision, //
 };
 
-/// Most bytes of a file: the published content and as much again for its layout.
-pub const MAX_DOCUMENT: usize = 2 * MAX_CONTENT;
+/// Most bytes of a file: the greatest published content, and as much again for white space.
+pub const MAX_DOCUMENT_BYTES: usize = 2 * MAX_CONTENT_BYTES;
 
-/// Kinds whose entries are published one by one.
+/// Kinds of entries that are published under a key each.
 const KINDS: [&str; 4] = ["models", "services", "endpoints", "workspaces"];
 
 /// Splits a file into the keys and values to publish.
 ///
 /// # Errors
 ///
-/// All that is wrong with the outer layers; the values themselves are not checked.
+/// All faults of the file, its sections and its names; the values are not checked.
 pub fn split(file: &[u8]) -> Result<Vec<(Bytes, Bytes)>, Vec<Fault>> {
     let mut faults = Faults::default();
     let mut out = Vec::new();
-    match Value::parse("", file, MAX_DOCUMENT, &mut faults) {
+    match Value::parse("", file, MAX_DOCUMENT_BYTES, &mut faults) {
         Some(Value::Object(sections)) => {
             for (name, value) in sections {
                 section(&name, value, &mut out, &mut faults);
@@ -71,7 +71,7 @@
     }
 }
 
-/// Checks a whole file as if it were the first revision published.
+/// Checks a whole file as the first published revision.
 impl TryFrom<&[u8]> for Config {
     type Error = Vec<Fault>;
 
--- a/crates/core/src/config/entry.rs
+++ b/crates/core/src/config/entry.rs
@@ -1,8 +1,8 @@
-//! Makes checked values of single published entries.
+//! Parses and validates single published entries.
 //!
-//! Each function reads one JSON object, resolves the names in it against the arenas of the
-//! configuration that is being built, and notes every fault. What needs two entries to tell (two
-//! equal addresses, say) is left to [`super::cross`].
+//! Each function reads one JSON object, resolves the names in it in the arenas of the configuration
+//! that is being built, and records every fault. Checks that need two entries (for example for
+//! equal addresses) are in [`super::cross`].
 
 use std::collections::HashSet;
 
@@ -37,7 +37,7 @@
     units::Millis, //
 };
 
-/// Paths under which the router itself answers callers.
+/// Paths at which the router itself answers callers.
 const RESERVED: [&str; 5] = ["/v1", "/healthz", "/readyz", "/status", "/drain"];
 
 pub(super) fn policy(mut o: Object<'_>) -> Policy {
@@ -45,14 +45,14 @@
         load_multiple: o.ratio(&r::LOAD_MULTIPLE),
         drain_deadline: Millis(o.number(&r::DRAIN_DEADLINE)),
         retry_budget: o.ratio(&r::RETRY_BUDGET),
-        max_attempts: o.small(&r::MAX_ATTEMPTS),
+        max_attempts: o.number_u32(&r::MAX_ATTEMPTS),
         key_ttl: Millis(o.number(&r::KEY_TTL)),
         lease: Millis(o.number(&r::LEASE)),
         clock_skew: Millis(o.number(&r::CLOCK_SKEW)),
         idle_timeout: Millis(o.number(&r::IDLE_TIMEOUT)),
         poll_interval: Millis(o.number(&r::POLL_INTERVAL)),
         summary_interval: Millis(o.number(&r::SUMMARY_INTERVAL)),
-        config_readers: o.small(&r::CONFIG_READERS),
+        config_readers: o.number_u32(&r::CONFIG_READERS),
         data_centers: data_centers(&mut o),
     };
     if policy.lease >= policy.key_ttl {
@@ -78,13 +78,14 @@
         if text.is_none() {
             o.faults.add(format!("{path}.{name}"), region, "a name");
         }
-        // The data centre is known even if its region is wrong: no second fault from the first.
+        // A data centre with an invalid region is added too, so that references to it are no
+        // faults.
         out.insert(id.clone(), text.unwrap_or(id));
     }
     out
 }
 
-/// Reads the members of the published fleet.
+/// Reads the routers of the published fleet.
 pub(super) fn fleet(value: Value, faults: &mut Faults) -> Vec<Router> {
     let Value::Object(members) = value else {
         faults.add("fleet", value, "an object of routers by name");
@@ -122,7 +123,7 @@
 
 pub(super) fn model(id: &Id, mut o: Object<'_>) -> Model {
     let version = o.id(&r::VERSION);
-    let min_replicas = o.small(&r::MIN_REPLICAS);
+    let min_replicas = o.number_u32(&r::MIN_REPLICAS);
     o.finish();
     Model {
         id: id.clone(),
@@ -182,9 +183,9 @@
     })
 }
 
-/// Tells whether `text` is a plain absolute path: what another program would rewrite before it
-/// compares paths (empty and dot segments, percent signs) is refused, so that a call can't reach
-/// a service around a rule that it runs at most once.
+/// Returns whether `text` is an absolute path in normal form. Empty segments, dot segments and
+/// percent signs are refused: another program may rewrite them before it compares paths, and a call
+/// could then bypass a rule that it must run at most once.
 fn is_path(text: &str) -> bool {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~!$&'()*+,;=:@".contains(&b);
     let segment = |s: &str| !matches!(s, "" | "." | "..") && s.bytes().all(plain);
@@ -202,7 +203,7 @@
         let path = o.path(&r::SERVICE);
         name_of(&path, Value::Text(name), &next.services, o.faults)
     });
-    let capacity = o.small(&r::CAPACITY);
+    let capacity = o.number_u32(&r::CAPACITY);
     let fencing = o.flag(&r::CHECKS_FENCING);
     let key_check = o.flag(&r::CHECKS_KEY);
     let misfits = match kind {
@@ -240,8 +241,10 @@
 }
 
 pub(super) fn workspace(id: &Id, mut o: Object<'_>, next: &Config) -> Workspace {
-    let requests_per_s = o.small(&r::REQUESTS_PER_S);
-    let burst = o.given(&r::BURST).and_then(|n| u32::try_from(n).ok());
+    let requests_per_s = o.number_u32(&r::REQUESTS_PER_S);
+    let burst = o
+        .optional_number(&r::BURST)
+        .and_then(|n| u32::try_from(n).ok());
     let workspace = Workspace {
         tag: id.tag(),
         id: id.clone(),
@@ -259,7 +262,7 @@
     workspace
 }
 
-/// Reads key hashes. A wrong one isn't shown: somebody may have written the key itself.
+/// Reads key hashes. An invalid one is not shown in the fault, as it may be the key itself.
 fn hashes(o: &mut Object<'_>) -> Vec<[u8; 32]> {
     let mut out = Vec::new();
     for (path, value) in o.list(&r::KEY_HASHES) {
@@ -283,7 +286,7 @@
     let mut seen = HashSet::new();
     for (path, value) in o.list(field) {
         let Some(key) = name_of(&path, value, arena, o.faults) else {
-            // Keeps the number of names, so that no second fault follows from the first.
+            // A null key keeps the number of names, so that a wrong name causes only one fault.
             out.push(K::null());
             continue;
         };
--- a/crates/core/src/config/fault.rs
+++ b/crates/core/src/config/fault.rs
@@ -1,12 +1,12 @@
-//! What is wrong with a document, all of it at once.
+//! Faults of a document, collected so that operators see all of them at once.
 
 use std::fmt;
 
-/// Most faults that are kept of one check; the rest is only counted, so that a broken value of a
-/// megabyte doesn't become a log line of many.
+/// Most faults that are kept of one check. Further ones are only counted, so that an invalid value
+/// of a megabyte does not cause a log line of several megabytes.
 pub const MAX_FAULTS: usize = 100;
 
-/// `Fault` is one thing wrong with a document.
+/// `Fault` is one fault of a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// JSON path of the field, such as `endpoints/eng-1.models[0]`.
@@ -28,7 +28,7 @@
     }
 }
 
-/// `Faults` collects what a check finds.
+/// `Faults` collects the faults that a check finds.
 #[derive(Debug, Default)]
 pub(crate) struct Faults {
     list: Vec<Fault>,
@@ -36,7 +36,7 @@
 }
 
 impl Faults {
-    /// Adds a fault, or counts it once [`MAX_FAULTS`] are there.
+    /// Adds a fault; only counts it if there are [`MAX_FAULTS`] already.
     pub(crate) fn add(
         &mut self,
         path: impl Into<String>,
@@ -54,7 +54,7 @@
         });
     }
 
-    /// Gives `value` if nothing is wrong, else all faults.
+    /// Returns `value` if there are no faults, else all faults.
     pub(crate) fn or<T>(mut self, value: T) -> Result<T, Vec<Fault>> {
         if self.list.is_empty() {
             return Ok(value);
--- a/crates/core/src/config/field.rs
+++ b/crates/core/src/config/field.rs
@@ -1,9 +1,9 @@
-//! What a field may hold: its shape, unit, range and default, in one place for the checks and for
-//! the reference page (docs/CONFIGURATION.md), which a test holds against it.
+//! Describes fields of documents: type, unit, range and default. The checks use these descriptions,
+//! and a test compares them with the reference page (docs/CONFIGURATION.md).
 
 use crate::units::Permille;
 
-/// `Shape` says what a field holds.
+/// `Shape` is the type and range of a field's values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shape {
     /// A whole number of some unit.
@@ -24,11 +24,11 @@
     },
     /// `true` or `false`.
     Flag,
-    /// A text of the form that the words describe.
+    /// A text in the described form.
     Text(&'static str),
     /// A list.
     List {
-        /// What it is of.
+        /// Description of the entries.
         of: &'static str,
         /// The fewest.
         min: usize,
@@ -37,21 +37,21 @@
     },
     /// An object with fields of its own.
     Object,
-    /// An object whose field names are free.
+    /// An object with arbitrary field names.
     Table {
-        /// What it maps.
+        /// Description of the mapping.
         of: &'static str,
         /// The most.
         max: usize,
     },
 }
 
-/// `Fallback` says what holds when a field is absent.
+/// `Fallback` is what applies when a field is absent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fallback {
-    /// The field must be there.
+    /// The field must be present.
     Required,
-    /// Nothing: an empty list, no limit, or what the words say.
+    /// No value, such as an empty list or no limit; the text describes it.
     Absent(&'static str),
     /// A number in the unit of the field; thousandths for a ratio, 0 and 1 for a flag.
     Number(u64),
@@ -64,13 +64,13 @@
 pub struct Field {
     /// Name in JSON.
     pub name: &'static str,
-    /// What it holds.
+    /// Type and range of its values.
     pub shape: Shape,
-    /// What holds when it is absent.
+    /// What applies when it is absent.
     pub fallback: Fallback,
 }
 
-/// `Section` is a group of fields that stand together in one object.
+/// `Section` is the group of fields of one object.
 #[derive(Clone, Copy, Debug)]
 pub struct Section {
     /// Heading in the reference page.
@@ -98,7 +98,7 @@
         Self::new(name, Shape::Ratio { min, max })
     }
 
-    /// Makes a flag that is off when absent.
+    /// Makes a flag that is false when absent.
     pub const fn flag(name: &'static str) -> Self {
         Self::new(name, Shape::Flag).or(0)
     }
@@ -118,7 +118,7 @@
         Self::new(name, Shape::Table { of, max }).or_absent("none")
     }
 
-    /// Makes an object of fields that all have defaults.
+    /// Makes an object whose fields all have defaults.
     pub const fn object(name: &'static str) -> Self {
         Self::new(name, Shape::Object).or_absent("all defaults")
     }
@@ -135,13 +135,13 @@
         self
     }
 
-    /// Lets the field be absent; the words say what holds then.
+    /// Lets the field be absent; the text describes what applies then.
     pub const fn or_absent(mut self, words: &'static str) -> Self {
         self.fallback = Fallback::Absent(words);
         self
     }
 
-    /// Gets the default number; the least for a field without, zero where there is none.
+    /// Gets the default number; without a default the least valid one, or zero for other types.
     pub const fn number_or_least(&self) -> u64 {
         match (self.fallback, self.shape) {
             (Fallback::Number(number), _) => number,
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Gets the start of the field's row in the reference page; the meaning follows there.
+    /// Gets the first columns of the field's row in the reference page, without the description.
     pub fn row(&self) -> String {
         let (unit, default, range) = (self.unit(), self.default_words(), self.range());
         format!("| `{}` | {unit} | {default} | {range} |", self.name)
--- a/crates/core/src/config/key.rs
+++ b/crates/core/src/config/key.rs
@@ -1,8 +1,8 @@
-//! The published keys.
+//! Parses the keys of published entries.
 
 use crate::ids::Id;
 
-/// `Key` is the name of one published value.
+/// `Key` is the key of one published entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Key {
     /// `policy`.
@@ -19,7 +19,7 @@
     Workspace(Id),
 }
 
-/// `Error` says that a text is no published key.
+/// `Error` is returned for a text that is not a valid key.
 #[derive(Debug, snafu::Snafu, Clone, Copy, PartialEq, Eq)]
 #[snafu(display(
     "`policy`, `fleet`, or `models/`, `services/`, `endpoints/` or `workspaces/` and a name \
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -1,8 +1,8 @@
-//! The published configuration in its checked form.
+//! The published configuration after validation.
 //!
-//! Operators publish keys with JSON values (docs/CONFIGURATION.md); [`store::Store`] merges them
-//! by revision, checks the whole and puts the newest valid revision in force. The types here are
-//! what the decisions read: every cross-reference holds, every number is in its range.
+//! Operators publish keys with JSON values (docs/CONFIGURATION.md). [`store::Store`] merges them by
+//! revision, validates the result and puts the newest valid revision in force. In the types of this
+//! module every reference resolves and every number is in its range.
 
 use std::{
     net::SocketAddr,
@@ -41,7 +41,7 @@
 pub mod reference;
 pub mod store;
 
-/// `Config` is one revision of the configuration, checked as a whole.
+/// `Config` is one valid revision of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Config {
     /// Revision of the newest entry.
@@ -65,25 +65,25 @@
 /// `Policy` holds the rules of the whole deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// No engine carries more than this multiple of the mean load.
+    /// Greatest load of an engine, as a multiple of the mean load.
     pub load_multiple: Permille,
-    /// Time that a drain may take before what is left is cut.
+    /// Time that a drain may take before the remaining requests are cut off.
     pub drain_deadline: Millis,
     /// Retries as a share of first attempts, per router.
     pub retry_budget: Permille,
     /// Most attempts for one request, the first included.
     pub max_attempts: u32,
-    /// How long the home remembers an idempotency key, and how old a key may be.
+    /// Time for which the home router keeps an idempotency key, and greatest age of a key.
     pub key_ttl: Millis,
-    /// Length of a home's lease.
+    /// Duration of a home router's lease.
     pub lease: Millis,
-    /// Largest distance between two wall clocks, callers' included.
+    /// Greatest difference between two wall clocks, those of callers included.
     pub clock_skew: Millis,
-    /// Time without progress after which a connection counts as silent.
+    /// Time without progress after which a connection counts as stalled.
     pub idle_timeout: Millis,
     /// Time between two load polls of one endpoint.
     pub poll_interval: Millis,
-    /// Time between two summaries to a peer.
+    /// Time between two summary messages to a peer.
     pub summary_interval: Millis,
     /// Routers per region that watch the configuration service.
     pub config_readers: u32,
@@ -94,19 +94,19 @@
 impl Default for Policy {
     fn default() -> Self {
         let millis = |field: &field::Field| Millis(field.number_or_least());
-        let small = |field: &field::Field| u32::try_from(field.number_or_least()).unwrap_or(0);
+        let number_u32 = |field: &field::Field| u32::try_from(field.number_or_least()).unwrap_or(0);
         Self {
-            load_multiple: Permille(small(&reference::LOAD_MULTIPLE)),
+            load_multiple: Permille(number_u32(&reference::LOAD_MULTIPLE)),
             drain_deadline: millis(&reference::DRAIN_DEADLINE),
-            retry_budget: Permille(small(&reference::RETRY_BUDGET)),
-            max_attempts: small(&reference::MAX_ATTEMPTS),
+            retry_budget: Permille(number_u32(&reference::RETRY_BUDGET)),
+            max_attempts: number_u32(&reference::MAX_ATTEMPTS),
             key_ttl: millis(&reference::KEY_TTL),
             lease: millis(&reference::LEASE),
             clock_skew: millis(&reference::CLOCK_SKEW),
             idle_timeout: millis(&reference::IDLE_TIMEOUT),
             poll_interval: millis(&reference::POLL_INTERVAL),
             summary_interval: millis(&reference::SUMMARY_INTERVAL),
-            config_readers: small(&reference::CONFIG_READERS),
+            config_readers: number_u32(&reference::CONFIG_READERS),
             data_centers: indexmap::IndexMap::new(),
         }
     }
@@ -119,9 +119,9 @@
     pub id: Id,
     /// Tag of the name.
     pub tag: Tag,
-    /// Where callers reach it.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Where peers reach it.
+    /// Address for peers.
     pub peer_address: SocketAddr,
     /// Its data centre.
     pub data_center: Id,
@@ -137,10 +137,10 @@
     Service,
 }
 
-/// `Check` says whether an endpoint checks a number or key that comes with a call.
+/// `Check` says whether an endpoint checks the fencing number or idempotency key of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Check {
-    /// It refuses what is old or repeated.
+    /// It refuses old fencing numbers or repeated keys.
     Checked,
     /// It ignores the number or key.
     Ignored,
@@ -155,7 +155,7 @@
     pub tag: Tag,
     /// Engine or service.
     pub kind: Kind,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_center: Id,
@@ -163,7 +163,7 @@
     pub models: Vec<ModelKey>,
     /// The service it is a replica of; `None` for engines.
     pub service: Option<ServiceKey>,
-    /// Requests in progress that it takes at once.
+    /// Most requests that it serves at once.
     pub capacity: u32,
     /// Whether it checks fencing numbers of orders.
     pub fencing: Check,
@@ -171,7 +171,7 @@
     pub key_check: Check,
 }
 
-/// `Rule` names calls of a service that may not be repeated.
+/// `Rule` selects calls of a service that must not be repeated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rule {
     /// HTTP method in capitals.
@@ -187,7 +187,7 @@
     pub id: Id,
     /// Path prefix under which callers reach it; starts with '/'.
     pub path: bytes::Bytes,
-    /// Calls that run at most once.
+    /// Rules that select the calls to run at most once.
     pub once: Vec<Rule>,
 }
 
@@ -196,9 +196,9 @@
 pub struct Model {
     /// Name.
     pub id: Id,
-    /// Version that engines shall hold.
+    /// Version that engines should load.
     pub version: Id,
-    /// Fewest engines that shall hold it.
+    /// Fewest engines that should hold it.
     pub min_replicas: u32,
 }
 
@@ -223,11 +223,11 @@
 pub struct Limit {
     /// Requests a second.
     pub requests_per_s: u32,
-    /// Requests that may come at once after a quiet time.
+    /// Requests that may come at once after a time without requests.
     pub burst: u32,
 }
 
-/// `Workspace` is one customer's share of the deployment.
+/// `Workspace` holds the keys, limits and permissions of one customer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workspace {
     /// Name.
@@ -244,7 +244,7 @@
     pub models: Vec<ModelKey>,
     /// Services it may use.
     pub services: Vec<ServiceKey>,
-    /// Deadline of a request that brings none.
+    /// Deadline of a request that states none.
     pub deadline: Millis,
 }
 
@@ -259,7 +259,7 @@
         found.max_by_key(|(_, s)| s.path.len())
     }
 
-    /// Gets the router of the fleet that is home to `item` (highest rendezvous score).
+    /// Gets the home router of `item`: the one with the highest rendezvous score.
     pub fn home(&self, item: u64) -> Option<RouterKey> {
         let score = |tag| (crate::ids::rendezvous(item, tag), tag);
         self.fleet
@@ -270,7 +270,7 @@
 }
 
 impl Service {
-    /// Tells whether a call may run at most once.
+    /// Returns whether a call must run at most once.
     pub fn is_once(&self, method: &[u8], path: &[u8]) -> bool {
         let rest = path.strip_prefix(self.path.as_ref()).unwrap_or(path);
         let hit = |r: &Rule| r.method == method && rest.starts_with(&r.path);
--- a/crates/core/src/config/object.rs
+++ b/crates/core/src/config/object.rs
@@ -1,7 +1,7 @@
-//! Reads the fields of one JSON object and notes every fault on the way.
+//! Reads the fields of one JSON object and records every fault.
 //!
-//! A field that can't be read gives its default or nothing, so that the rest is still checked and
-//! the operator sees all faults of a document at once.
+//! An invalid field yields its default or nothing, so that the other fields are checked too and the
+//! operator sees all faults of a document at once.
 
 use std::net::SocketAddr;
 
@@ -29,7 +29,7 @@
 }
 
 impl<'a> Object<'a> {
-    /// Starts to read `value`; adds a fault if it is no object.
+    /// Starts to read `value`; adds a fault if it is not an object.
     pub(crate) fn new(path: &str, value: Value, faults: &'a mut Faults) -> Option<Self> {
         let Value::Object(fields) = value else {
             faults.add(path, value, "an object");
@@ -50,13 +50,13 @@
         }
     }
 
-    /// Adds the fault that `found` is not what `field` expects.
+    /// Adds a fault: `found` is not a valid value of `field`.
     pub(crate) fn refuse(&mut self, field: &Field, found: impl std::fmt::Display) {
         let path = self.path(field);
         self.faults.add(path, found, field.expected());
     }
 
-    /// Takes a field out; adds a fault if it is required and absent.
+    /// Removes and returns a field; adds a fault if it is required and absent.
     pub(crate) fn take(&mut self, field: &Field) -> Option<Value> {
         let value = self.fields.swap_remove(field.name);
         if value.is_none() && field.fallback == Fallback::Required {
@@ -65,8 +65,8 @@
         value
     }
 
-    /// Reads a whole number; `None` when it is absent or refused.
-    pub(crate) fn given(&mut self, field: &Field) -> Option<u64> {
+    /// Reads a whole number; `None` if it is absent or invalid.
+    pub(crate) fn optional_number(&mut self, field: &Field) -> Option<u64> {
         let value = self.take(field)?;
         let number = match &value {
             Value::Number(number) => number.as_u64(),
@@ -84,11 +84,12 @@
 
     /// Reads a whole number or its default.
     pub(crate) fn number(&mut self, field: &Field) -> u64 {
-        self.given(field).unwrap_or_else(|| field.number_or_least())
+        self.optional_number(field)
+            .unwrap_or_else(|| field.number_or_least())
     }
 
-    /// Reads a whole number or its default; ranges keep it within 32 bits.
-    pub(crate) fn small(&mut self, field: &Field) -> u32 {
+    /// Reads a whole number or its default, as 32 bits; the ranges of the fields fit in.
+    pub(crate) fn number_u32(&mut self, field: &Field) -> u32 {
         u32::try_from(self.number(field)).unwrap_or(u32::MAX)
     }
 
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Reads a text or its default; `None` when there is neither.
+    /// Reads a text or its default; `None` if there is neither.
     pub(crate) fn text(&mut self, field: &Field) -> Option<String> {
         match (self.take(field), field.fallback) {
             (Some(Value::Text(text)), _) => Some(text),
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Reads a text and makes a checked value of it; shows the text if that fails.
+    /// Reads a text and parses it with `make`; adds a fault that shows the text if that fails.
     pub(crate) fn parsed<T>(
         &mut self,
         field: &Field,
@@ -156,10 +157,10 @@
 
     /// Reads an address that others can connect to.
     pub(crate) fn address(&mut self, field: &Field) -> Option<SocketAddr> {
-        self.parsed(field, reachable)
+        self.parsed(field, parse_reachable)
     }
 
-    /// Reads a list as the path and value of each entry; empty when absent or refused.
+    /// Reads a list as the path and value of each entry; empty if it is absent or invalid.
     pub(crate) fn list(&mut self, field: &Field) -> Vec<(String, Value)> {
         let list = match self.take(field) {
             None => return Vec::new(),
@@ -180,7 +181,7 @@
         list.into_iter().enumerate().map(entry).collect()
     }
 
-    /// Reads a table of names; empty when absent or refused.
+    /// Reads an object with arbitrary field names; empty if it is absent or invalid.
     pub(crate) fn table(&mut self, field: &Field) -> IndexMap<String, Value> {
         let table = match self.take(field) {
             None => return IndexMap::new(),
@@ -199,7 +200,7 @@
         table
     }
 
-    /// Ends the reading: what is left has no place here.
+    /// Adds a fault for each field that was not read.
     pub(crate) fn finish(self) {
         for name in self.fields.keys() {
             let shown = Value::Text(name.clone());
@@ -209,8 +210,8 @@
     }
 }
 
-/// Parses `IP:PORT` that others can connect to.
-pub(crate) fn reachable(text: &str) -> Option<SocketAddr> {
+/// Parses an `IP:PORT` to which others can connect.
+pub(crate) fn parse_reachable(text: &str) -> Option<SocketAddr> {
     let address: SocketAddr = text.parse().ok()?;
     let ip = address.ip();
     let good = address.port() != 0 && !ip.is_unspecified() && !ip.is_multicast();
@@ -219,12 +220,12 @@
 
 /// Parses 32 bytes in hexadecimal.
 pub(crate) fn hash(text: &str) -> Option<[u8; 32]> {
-    let bytes = hex(text)?;
+    let bytes = parse_hex(text)?;
     bytes.try_into().ok()
 }
 
 /// Parses bytes in hexadecimal.
-pub(crate) fn hex(text: &str) -> Option<Vec<u8>> {
+pub(crate) fn parse_hex(text: &str) -> Option<Vec<u8>> {
     let digit = |b: &u8| (*b as char).to_digit(16).and_then(|d| u8::try_from(d).ok());
     let pair = |pair: &[u8]| match pair {
         [high, low] => Some(digit(high)? << 4 | digit(low)?),
--- a/crates/core/src/config/raw.rs
+++ b/crates/core/src/config/raw.rs
@@ -1,7 +1,8 @@
-//! JSON as it is written, before any check.
+//! JSON values before validation.
 //!
-//! `serde_json`'s own map keeps the last of two fields of one name. An operator who gives a limit
-//! twice would see the one and run with the other, so [`Value`] refuses the document instead.
+//! `serde_json`'s own map keeps the last of two fields with the same name. An operator who gives a
+//! limit twice could read one value while the other is in force, so [`Value`] refuses duplicate
+//! fields.
 
 use std::fmt;
 
@@ -19,12 +20,12 @@
 
 use super::fault::Faults;
 
-/// Most bytes of one published value (the platform's own bound).
-pub const MAX_VALUE: usize = 1 << 20;
-/// Most characters of a value that a fault repeats.
-const MAX_SHOWN: usize = 60;
+/// Most bytes of one published value, as limited by the platform.
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
+/// Most characters of a value that a fault shows.
+const MAX_SHOWN_CHARS: usize = 60;
 
-/// `Value` is any JSON value; fields keep their order and none is given twice.
+/// `Value` is any JSON value. Fields keep their order; duplicate fields are refused.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// `null`.
@@ -71,8 +72,8 @@
             Value::Null => f.write_str("null"),
             Value::Flag(flag) => write!(f, "{flag}"),
             Value::Number(number) => write!(f, "{number}"),
-            Value::Text(text) if text.chars().count() > MAX_SHOWN => {
-                let start: String = text.chars().take(MAX_SHOWN).collect();
+            Value::Text(text) if text.chars().count() > MAX_SHOWN_CHARS => {
+                let start: String = text.chars().take(MAX_SHOWN_CHARS).collect();
                 write!(f, "{start:?}... ({} bytes)", text.len())
             }
             Value::Text(text) => write!(f, "{text:?}"),
--- a/crates/core/src/config/reference.rs
+++ b/crates/core/src/config/reference.rs
@@ -1,6 +1,6 @@
 //! The fields of the published configuration, with their defaults and ranges.
 //!
-//! docs/CONFIGURATION.md says what each is for.
+//! docs/CONFIGURATION.md describes each field.
 
 use super::field::{
     Field,
@@ -9,9 +9,9 @@
 use crate::units::Permille;
 
 /// Most bytes of a published key.
-pub const MAX_KEY: usize = 128;
+pub const MAX_KEY_BYTES: usize = 128;
 /// Most bytes of all keys and values together.
-pub const MAX_CONTENT: usize = 8 << 20;
+pub const MAX_CONTENT_BYTES: usize = 8 << 20;
 /// Most routers of a fleet.
 pub const MAX_ROUTERS: usize = 1024;
 /// Most models.
@@ -104,7 +104,7 @@
 /// Field of [`super::Workspace`].
 pub const DEADLINE: Field = Field::number("deadline_ms", "ms", 10, DAY_MS);
 
-/// All fields, by the key that holds them.
+/// All fields, grouped by the key whose value contains them.
 pub const SECTIONS: &[Section] = &[
     Section {
         name: "policy",
--- a/crates/core/src/config/store.rs
+++ b/crates/core/src/config/store.rs
@@ -1,10 +1,10 @@
-//! The published entries by revision, and the newest valid configuration made from them.
+//! Stores the published entries by revision and the newest valid configuration built from them.
 //!
-//! The content at a revision alone decides whether it can be in force, so every router judges it
-//! alike. A store holds two contents: the one in force, which is the greatest valid revision it
-//! was given, and what was written after it (`pending`), which is empty or ends in a revision that
-//! was refused. Both only go up, and merging takes the greater of each, so routers that exchange
-//! [`Change`]s end at the same pair in whatever order these arrive.
+//! Whether a revision is valid depends on its content alone, so all routers decide alike. A store
+//! holds two contents: the one in force, which is the greatest valid revision that it received, and
+//! the entries written after it (`pending`), which are empty or end in a revision that was refused.
+//! The revisions of both only grow, and a merge takes the greater of each, so routers that exchange
+//! [`Change`]s converge to the same pair whatever the order of arrival.
 
 use std::{
     collections::{
@@ -21,10 +21,10 @@
 pub use super::fault::Fault;
 use super::{
     Config, build,
-    raw::MAX_VALUE,
+    raw::MAX_VALUE_BYTES,
     reference::{
-        MAX_CONTENT,
-        MAX_KEY, //
+        MAX_CONTENT_BYTES,
+        MAX_KEY_BYTES, //
     },
 };
 use crate::{
@@ -35,30 +35,30 @@
     units::Revision,
 };
 
-/// Deletions that are remembered for peers, besides those of the newest revision.
+/// Most deletions that are kept for peers, besides those of the newest revision.
 ///
-/// At more, the older half is forgotten, and a peer that holds less than the newest one forgotten
-/// is answered with a whole snapshot.
+/// Above this number the older half is dropped. A peer whose revision is below the newest dropped
+/// deletion gets a whole snapshot.
 pub const MAX_TOMBSTONES: usize = 4096;
 
-/// Most bytes of keys and values that are kept of refused revisions. A change that brings more is
-/// refused itself and read again.
-pub const MAX_PENDING: usize = 2 * MAX_CONTENT;
+/// Most bytes of keys and values that are kept of refused revisions. A change that exceeds this is
+/// dropped and read again.
+pub const MAX_PENDING_BYTES: usize = 2 * MAX_CONTENT_BYTES;
 /// Most entries that are kept of refused revisions.
 pub const MAX_PENDING_ENTRIES: usize = 65_536;
 
-/// `Error` says why a change is not in force.
+/// `Error` is the reason why a change was not put in force.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The change starts after a revision that this store doesn't hold.
+    /// The change starts after a revision that is newer than those in this store.
     #[snafu(display("the change starts after revision {since}, this store holds {held}"))]
     Gap {
-        /// Where the change starts.
+        /// Revision after which the change starts.
         since: u64,
         /// What is held.
         held: u64,
     },
-    /// The change brings nothing that this store doesn't hold.
+    /// The change contains nothing that is new to this store.
     #[snafu(display("revision {found} brings nothing to {held}"))]
     Old {
         /// Revision of the change.
@@ -66,7 +66,7 @@
         /// What is held.
         held: u64,
     },
-    /// The change contradicts itself or its bounds; nothing of it is held.
+    /// The change contradicts itself or exceeds its bounds; nothing of it is kept.
     #[snafu(display("found {found}, expected {expected}"))]
     Malformed {
         /// What was found.
@@ -77,7 +77,7 @@
     /// The configuration is invalid; the older one stays in force.
     #[snafu(display("{} faults, first {}", faults.len(), first(faults)))]
     Invalid {
-        /// All that is wrong with it.
+        /// All faults of the configuration.
         faults: Vec<Fault>,
     },
 }
@@ -95,7 +95,7 @@
 /// - `entries` overwritten with `pending` is the published content at `held`; `entries` alone is
 ///   the content of `current`.
 /// - Every entry of `pending` is newer than `current`.
-/// - Every deletion after `floor` is named.
+/// - Every deletion after `floor` is kept in `entries` or `pending`.
 #[derive(Debug, Default)]
 pub struct Store {
     entries: Entries,
@@ -107,22 +107,23 @@
 }
 
 impl Store {
-    /// Gets the configuration in force; revision zero before the first.
+    /// Gets the configuration in force; its revision is zero before the first.
     pub fn current(&self) -> &Arc<Config> {
         &self.current
     }
 
-    /// Gets the newest revision seen, valid or not.
+    /// Gets the newest revision received, valid or not.
     pub fn held(&self) -> Revision {
         self.held
     }
 
-    /// Gets the revision after which to read the service next: the newest held, but every other
-    /// time that in force while the newest is refused.
+    /// Gets the revision after which to read the configuration service next: the newest one
+    /// received. While that one is refused, every other read starts after the revision in force
+    /// instead.
     ///
-    /// A rubbish answer may have brought a revision far above the published ones. A router that
-    /// only asked for what is above that would wait for ever and miss every later publish; read
-    /// after what is in force, the service gives them.
+    /// A corrupt answer may have contained a revision far above the published ones. A router that
+    /// only asked for revisions above that would miss every later one; a read after the revision in
+    /// force returns them.
     pub fn next_read(&mut self) -> Revision {
         self.reread = !self.reread && !self.pending.is_empty();
         if self.reread {
@@ -139,7 +140,7 @@
     /// [`Error::Gap`], [`Error::Old`] and [`Error::Malformed`] leave the store as it was;
     /// [`Error::Invalid`] may have raised [`Store::held`].
     pub fn apply(&mut self, change: &Change) -> Result<(), Error> {
-        let revision = screen(change)?;
+        let revision = validate(change)?;
         if revision > self.held {
             self.apply_newest(change, revision)
         } else {
@@ -147,13 +148,13 @@
         }
     }
 
-    /// Applies a change that ends above all that is held.
+    /// Applies a change that ends above the newest revision received.
     fn apply_newest(&mut self, change: &Change, revision: Revision) -> Result<(), Error> {
         if change.since > self.held {
             let (since, held) = (change.since.0, self.held.0);
             return GapSnafu { since, held }.fail();
         }
-        let mut pending = self.newer(change, revision);
+        let mut pending = self.newer_entries(change, revision);
         if change.since.0 > 0 {
             for (key, old) in &self.pending {
                 let keep = |new: &Entry| new.revision < old.revision;
@@ -164,7 +165,7 @@
         }
         let weight = |e: &Entry| e.key.len() + e.value.as_ref().map_or(0, Bytes::len);
         let found = pending.values().map(weight).sum::<usize>();
-        if found > MAX_PENDING || pending.len() > MAX_PENDING_ENTRIES {
+        if found > MAX_PENDING_BYTES || pending.len() > MAX_PENDING_ENTRIES {
             let found = format!("{} refused entries, {found} bytes", pending.len());
             let expected = "no more than is kept of refused revisions";
             return MalformedSnafu { found, expected }.fail();
@@ -178,11 +179,11 @@
         Ok(())
     }
 
-    /// Applies a change that ends between what is in force and what is held.
+    /// Applies a change that ends between the revision in force and the newest one received.
     ///
-    /// A router that read two revisions in one delta, the newer one invalid, never saw the older
-    /// one by itself. A peer that did has it in force; without this step the two would differ
-    /// until the next valid revision.
+    /// A router that reads two revisions in one delta, the newer of them invalid, never sees the
+    /// older one by itself. A peer that saw it has it in force; without this step the two would
+    /// differ until the next valid revision.
     fn apply_between(&mut self, change: &Change, revision: Revision) -> Result<(), Error> {
         let current = self.current.revision;
         let held = self.held;
@@ -190,11 +191,11 @@
             let (found, held) = (revision.0, held.0);
             return OldSnafu { found, held }.fail();
         }
-        let between = self.newer(change, revision);
+        let between = self.newer_entries(change, revision);
         let config = self.build(revision, &between)?;
         self.raise_floor(change, revision);
-        // A key written in between is named in `pending`, or was deleted since and the snapshot
-        // that `pending` came from left that out.
+        // A key of `between` that `pending` lacks was deleted later: `pending` came from a
+        // snapshot, which need not contain deletions.
         let mut after = std::mem::take(&mut self.pending);
         for key in between.keys() {
             if !after.contains_key(key) {
@@ -208,9 +209,9 @@
         Ok(())
     }
 
-    /// Gets the entries of a change that are newer than what is in force. A snapshot need not name
-    /// deletions, so what it lacks counts as deleted.
-    fn newer(&self, change: &Change, revision: Revision) -> Entries {
+    /// Gets the entries of a change that are newer than the revision in force. A snapshot need not
+    /// contain deletions, so a key that it lacks counts as deleted.
+    fn newer_entries(&self, change: &Change, revision: Revision) -> Entries {
         let current = self.current.revision;
         let mut out = Entries::new();
         for entry in change.entries.iter().filter(|e| e.revision > current) {
@@ -230,7 +231,7 @@
         out
     }
 
-    /// Notes after a snapshot from where on not every deletion is known.
+    /// Raises `floor` after a snapshot, which may lack deletions up to that revision.
     fn raise_floor(&mut self, change: &Change, revision: Revision) {
         let floor = change.floor.unwrap_or(revision);
         if change.since.0 == 0 && floor > self.current.revision {
@@ -257,18 +258,18 @@
     fn put_in_force(&mut self, config: Config) {
         self.current = Arc::new(config);
         self.entries.extend(self.pending.drain(..));
-        self.forget();
+        self.drop_old_tombstones();
     }
 
-    /// Forgets the older half of the deletions once there are too many.
-    fn forget(&mut self) {
+    /// Drops the older half of the deletions once there are more than [`MAX_TOMBSTONES`].
+    fn drop_old_tombstones(&mut self) {
         let deleted = self.entries.values().filter(|e| e.value.is_none());
         let mut revisions: Vec<Revision> = deleted.map(|e| e.revision).collect();
         if revisions.len() <= MAX_TOMBSTONES {
             return;
         }
         revisions.sort_unstable();
-        // Those of the newest revision stay: a change ends at the revision of its newest entry.
+        // Deletions of the newest revision stay: a change ends at the revision of its newest entry.
         let newest = Revision(self.current.revision.0.saturating_sub(1));
         let cut = revisions[revisions.len() / 2].min(newest);
         self.entries
@@ -276,25 +277,25 @@
         self.floor = self.floor.max(cut);
     }
 
-    /// Gets all that was published after `since`, for a peer: one change or two, to be applied in
-    /// this order. The first brings it to what is in force here, the second to what is newer and
-    /// was refused.
+    /// Gets what was published after `since`, for a peer: one or two changes to apply in this
+    /// order. The first ends at the revision in force here, the second at the newest one, which was
+    /// refused.
     pub fn after(&self, since: Revision) -> Vec<Change> {
         let current = self.current.revision;
         let entries: Vec<&Entry> = self.entries.values().collect();
-        let mut out = vec![self.part(since, current, &entries)];
+        let mut out = vec![self.change_between(since, current, &entries)];
         if !self.pending.is_empty() {
             let old = entries.iter().copied();
             let old = old.filter(|e| !self.pending.contains_key(&e.key));
             let entries: Vec<&Entry> = old.chain(self.pending.values()).collect();
-            out.push(self.part(since.max(current), self.held, &entries));
+            out.push(self.change_between(since.max(current), self.held, &entries));
         }
         out
     }
 
-    /// Gets what changed from `since` to `revision`, whose content is `entries`; a snapshot if not
-    /// every deletion since then is known.
-    fn part(&self, since: Revision, revision: Revision, entries: &[&Entry]) -> Change {
+    /// Gets the change from `since` to `revision`, whose content is `entries`. Makes a snapshot if
+    /// some deletions since then were dropped.
+    fn change_between(&self, since: Revision, revision: Revision, entries: &[&Entry]) -> Change {
         let (since, floor) = if since < self.floor {
             (Revision(0), Some(self.floor.min(revision)))
         } else {
@@ -320,20 +321,20 @@
     }
 }
 
-/// Checks a change by itself and gets the revision that it brings its reader to: that of its
-/// newest entry.
+/// Checks a change by itself and gets the revision at which it ends: that of its newest entry.
 ///
-/// The change's own number is not believed above that. A service that reads its number and its
-/// entries in two steps gives a number whose entries are missing; whoever took the number would
-/// never ask for them again. One step lower, the next read brings them.
-fn screen(change: &Change) -> Result<Revision, Error> {
+/// The revision that the change states may be greater and is not used. A service that reads its
+/// revision and its entries in two steps may state a revision whose entries are missing, and a
+/// router that took it over would never ask for them. With the lower revision, the next read
+/// returns them.
+fn validate(change: &Change) -> Result<Revision, Error> {
     let malformed = |found: String, expected| MalformedSnafu { found, expected }.fail();
     let mut seen = HashMap::new();
     let mut bytes = 0_usize;
     let mut newest = Revision(0);
     for entry in &change.entries {
         let size = entry.value.as_ref().map_or(0, Bytes::len);
-        if entry.key.len() > MAX_KEY || size > MAX_VALUE {
+        if entry.key.len() > MAX_KEY_BYTES || size > MAX_VALUE_BYTES {
             let found = format!("{} and {size} bytes", entry.key.len());
             return malformed(found, "a key and a value within their bounds");
         }
@@ -349,7 +350,7 @@
         bytes += entry.key.len() + size;
         newest = newest.max(entry.revision);
     }
-    if bytes > 2 * MAX_CONTENT {
+    if bytes > 2 * MAX_CONTENT_BYTES {
         return malformed(format!("{bytes} bytes"), "at most twice a whole content");
     }
     Ok(newest)
--- a/crates/core/src/orders/engine.rs
+++ b/crates/core/src/orders/engine.rs
@@ -1,5 +1,5 @@
-//! State of one engine: the models that it reports, those that it should hold, and the progress of its
-//! last order.
+//! State of one engine: the models that it reports, those that it should hold, and the progress of
+//! its last order.
 
 use std::sync::Arc;
 
--- a/crates/core/src/orders/message.rs
+++ b/crates/core/src/orders/message.rs
@@ -119,9 +119,10 @@
     Pace,
     /// Fewer than `min_replicas` other engines are certain to serve one of its models meanwhile.
     MinReplicas,
-    /// The weight store is over its rate limit or failed, or its token for another engine is pending.
+    /// The weight store is over its rate limit or failed, or its token for another engine is
+    /// pending.
     WeightStore,
-    /// The last order's outcome is unknown, its load is in progress, or it failed and a retry is not
-    /// yet due.
+    /// The last order's outcome is unknown, its load is in progress, or it failed and a retry is
+    /// not yet due.
     Waiting,
 }
--- a/crates/core/src/orders/mod.rs
+++ b/crates/core/src/orders/mod.rs
@@ -68,8 +68,8 @@
     MAX_MODELS,
     Order,
     OrderNumber,
-    OrderOutcome, //
-    TokenReply,
+    OrderOutcome,
+    TokenReply, //
 };
 
 /// Number of fencing numbers of one revision: an order under revision `r` has a number from
@@ -79,16 +79,19 @@
 /// Time to wait for the answer to an order or to a token request.
 pub const ORDER_TIMEOUT: Millis = Millis::from_secs(5);
 
-/// Time that is added to [`ORDER_TIMEOUT`] for an order's transit and for differences between clocks.
+/// Time that is added to [`ORDER_TIMEOUT`] for an order's transit and for differences between
+/// clocks.
 const ORDER_SLACK: Millis = Millis(1000);
 
 /// Shortest silence of a router after which another one takes over its engines.
 const MIN_PEER_TIMEOUT: Millis = Millis::from_secs(2);
 
-/// Time in which an engine should report what it was ordered to load; after it, the order is repeated.
+/// Time in which an engine should report what it was ordered to load; after it, the order is
+/// repeated.
 pub const LOAD_TIMEOUT: Millis = Millis::from_secs(120);
 
-/// Base of the wait after a failure, which doubles up to [`BACKOFF_MAX`].
+/// Shortest wait after a failure, and base of the random wait that is added to it, which doubles
+/// with each failure up to [`BACKOFF_MAX`].
 const BACKOFF_MIN: Millis = Millis(500);
 
 /// Greatest random wait after a failure.
@@ -113,8 +116,8 @@
 }
 
 /// Gets the time that a router waits after it became the issuer of an engine that ignores fencing
-/// numbers. A former issuer that lost its connection to the fleet notices after [`peer_timeout`]; the
-/// orders that it sent until then are answered or time out after [`ORDER_TIMEOUT`].
+/// numbers. A former issuer that lost its connection to the fleet notices after [`peer_timeout`];
+/// the orders that it sent until then are answered or time out after [`ORDER_TIMEOUT`].
 pub fn hold_off(policy: &Policy) -> Millis {
     peer_timeout(policy) + ORDER_TIMEOUT + ORDER_SLACK + wake::MIN_PAUSE
 }
@@ -281,7 +284,8 @@
         keys
     }
 
-    /// Handles the weight store's answer. With a token, sends the order if the engine still needs it.
+    /// Handles the weight store's answer. With a token, sends the order if the engine still needs
+    /// it.
     pub fn on_token_reply(
         &mut self,
         context: OrderContext<'_>,
@@ -394,7 +398,8 @@
             .filter(|key| self.engines.contains_key(*key));
     }
 
-    /// Checks one engine: requests a token if it needs an order, or logs why the order is held back.
+    /// Checks one engine: requests a token if it needs an order, or logs why the order is held
+    /// back.
     fn check_engine(
         &mut self,
         context: OrderContext<'_>,
--- a/crates/core/src/orders/pace.rs
+++ b/crates/core/src/orders/pace.rs
@@ -102,7 +102,8 @@
     let mut ahead = 0;
     let mut serving = 0;
     for other in others {
-        // An engine that is ahead may be loading by order of its own issuer, and then doesn't serve.
+        // An engine that is ahead may be loading by order of its own issuer, and then doesn't
+        // serve.
         let may_load = !other.up_to_date && other.position < own.position;
         ahead += usize::from(may_load);
         serving += usize::from(other.serves && !may_load);
--- a/crates/core/src/settings/mod.rs
+++ b/crates/core/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! The settings of one process: who it is, where it listens, whom it asks.
+//! The settings of one process, such as its name, listening addresses and configuration service.
 //!
-//! One JSON file, read once at the start. What concerns the whole fleet is published instead
-//! ([`crate::config`]).
+//! They come from one JSON file that is read once at the start. Configuration of the whole fleet is
+//! published instead ([`crate::config`]).
 
 use std::{
     fmt,
@@ -19,8 +19,8 @@
         field::Field,
         object::{
             Object,
-            hex,
-            reachable, //
+            parse_hex,
+            parse_reachable, //
         },
         raw::Value, //
     },
@@ -32,53 +32,53 @@
 
 use reference as r;
 
-/// `Settings` is what one process must know before it hears from anybody.
+/// `Settings` is what one process must know before it contacts other processes.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Its name in the published fleet.
     pub id: Id,
     /// Its data centre.
     pub data_center: Id,
-    /// Where it listens for callers.
+    /// Address at which it listens for callers.
     pub listen: SocketAddr,
-    /// Where it listens for other routers.
+    /// Address at which it listens for other routers.
     pub peer_listen: SocketAddr,
-    /// Where it listens for operators.
+    /// Address at which it listens for operators.
     pub admin_listen: SocketAddr,
     /// Addresses of the configuration service, tried in turn.
     pub config_service: Vec<SocketAddr>,
     /// Addresses of the list of VMs, tried in turn.
     pub vm_list: Vec<SocketAddr>,
-    /// Authenticates messages between routers; the same on all.
+    /// Key that authenticates messages between routers; the same on all routers.
     pub peer_key: Secret,
-    /// Signs placement tokens; the same on all.
+    /// Key that signs placement tokens; the same on all routers.
     pub token_key: Secret,
-    /// Where metrics go, if anywhere.
+    /// Address to which metrics are sent; `None`: no metrics are sent.
     pub statsd: Option<SocketAddr>,
-    /// Seed of its random numbers; `None`: drawn at the start.
+    /// Seed of its random numbers; `None`: a random seed at each start.
     pub seed: Option<u64>,
-    /// How it logs.
+    /// Format and level of its log.
     pub log: Log,
-    /// What it may use.
+    /// Bounds on its use of resources.
     pub limits: Limits,
 }
 
-/// `Log` says how a process logs.
+/// `Log` is the format and level of a process's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Log {
-    /// Form of the lines.
+    /// Format of the lines.
     pub format: Format,
-    /// The least level that is written.
+    /// Least severe level that is written.
     pub level: Level,
 }
 
-/// `Format` is the form of log lines.
+/// `Format` is the format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
 pub enum Format {
     /// One JSON object a line.
     Json,
-    /// Text for people.
+    /// Text for human readers.
     Text,
 }
 
@@ -88,28 +88,28 @@
 pub enum Level {
     /// Something failed.
     Error,
-    /// Something is wrong and was handled.
+    /// Something is wrong and has been handled.
     Warn,
     /// Decisions.
     Info,
-    /// What led to decisions.
+    /// Reasons for decisions.
     Debug,
     /// Everything.
     Trace,
 }
 
-/// `Limits` bounds what one process uses.
+/// `Limits` bounds the resources that one process uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Most bytes of a request's body.
     pub max_body: usize,
-    /// Most bytes of a request's head.
+    /// Most bytes of a request's header section.
     pub max_header: usize,
     /// Most requests in progress.
     pub max_open_requests: usize,
-    /// Time without a byte from a caller after which its request is given up.
+    /// Time without a byte from a caller after which its request is aborted.
     pub slow_sender_timeout: Millis,
-    /// Memory for idempotency keys.
+    /// Most bytes of memory for idempotency keys.
     pub key_memory: usize,
 }
 
@@ -126,7 +126,7 @@
     }
 }
 
-/// `Secret` is a key that no log line or error may show.
+/// `Secret` is a key that must not appear in log lines or errors.
 #[derive(Clone)]
 pub struct Secret(Bytes);
 
@@ -149,12 +149,12 @@
     /// Reads a settings file.
     fn try_from(file: &[u8]) -> Result<Self, Vec<Fault>> {
         let mut faults = Faults::default();
-        let value = Value::parse("", file, r::MAX_FILE, &mut faults);
+        let value = Value::parse("", file, r::MAX_FILE_BYTES, &mut faults);
         let object = value.map(|value| Object::new("", value, &mut faults));
         let settings = object.flatten().and_then(settings);
         match faults.or(settings)? {
             Some(settings) => Ok(settings),
-            // Not reached: whatever gives no settings gives a fault.
+            // Not reached: a file without valid settings always causes a fault.
             None => Err(Vec::new()),
         }
     }
@@ -164,8 +164,8 @@
     let id = o.id(&r::ID);
     let data_center = o.id(&r::DATA_CENTER);
     let listen = listen(&mut o, &r::LISTEN);
-    let peer_listen = listen_apart(&mut o, &r::PEER_LISTEN, &[listen]);
-    let admin_listen = listen_apart(&mut o, &r::ADMIN_LISTEN, &[listen, peer_listen]);
+    let peer_listen = distinct_listen(&mut o, &r::PEER_LISTEN, &[listen]);
+    let admin_listen = distinct_listen(&mut o, &r::ADMIN_LISTEN, &[listen, peer_listen]);
     let config_service = addresses(&mut o, &r::CONFIG_SERVICE);
     let vm_list = addresses(&mut o, &r::VM_LIST);
     let peer_key = secret(&mut o, &r::PEER_KEY);
@@ -178,9 +178,9 @@
             .add(path, "the same key", "another than `peer_key`");
     }
     let statsd = o.address(&r::STATSD);
-    let seed = o.given(&r::SEED);
-    let log = sub(&mut o, &r::LOG).map(log);
-    let limits = sub(&mut o, &r::LIMITS).map(limits);
+    let seed = o.optional_number(&r::SEED);
+    let log = nested(&mut o, &r::LOG).map(log);
+    let limits = nested(&mut o, &r::LIMITS).map(limits);
     o.finish();
     Some(Settings {
         id: id?,
@@ -203,8 +203,8 @@
     })
 }
 
-/// Starts to read an object within the settings; an absent one has no fields.
-fn sub<'a>(o: &'a mut Object<'_>, field: &Field) -> Option<Object<'a>> {
+/// Starts to read a nested object of the settings; an absent one counts as empty.
+fn nested<'a>(o: &'a mut Object<'_>, field: &Field) -> Option<Object<'a>> {
     let value = o.take(field);
     let value = value.unwrap_or_else(|| Value::Object(indexmap::IndexMap::new()));
     Object::new(&o.path(field), value, o.faults)
@@ -238,7 +238,7 @@
     o.parsed(field, make)
 }
 
-fn listen_apart(
+fn distinct_listen(
     o: &mut Object<'_>,
     field: &Field,
     others: &[Option<SocketAddr>],
@@ -255,7 +255,7 @@
     let mut out = Vec::new();
     for (path, value) in o.list(field) {
         let address = match &value {
-            Value::Text(text) => reachable(text),
+            Value::Text(text) => parse_reachable(text),
             _ => None,
         };
         match address {
@@ -269,14 +269,15 @@
     out
 }
 
-/// Reads a key. A wrong one isn't shown, nor is its length: it may be one character short.
+/// Reads a secret key. The fault of an invalid one shows neither the text nor its length, as it may
+/// be the real key with one character missing.
 fn secret(o: &mut Object<'_>, field: &Field) -> Option<Secret> {
     let value = o.take(field)?;
     let key = match &value {
-        Value::Text(text) => hex(text),
+        Value::Text(text) => parse_hex(text),
         _ => None,
     };
-    let key = key.filter(|key| (r::MIN_KEY..=r::MAX_KEY).contains(&key.len()));
+    let key = key.filter(|key| (r::MIN_SECRET_BYTES..=r::MAX_SECRET_BYTES).contains(&key.len()));
     if key.is_none() {
         o.refuse(field, "something else");
     }
--- a/crates/core/src/settings/reference.rs
+++ b/crates/core/src/settings/reference.rs
@@ -1,6 +1,6 @@
 //! The fields of a process's settings, with their defaults and ranges.
 //!
-//! docs/CONFIGURATION.md says what each is for.
+//! docs/CONFIGURATION.md describes each field.
 
 use crate::config::field::{
     Field,
@@ -8,11 +8,11 @@
 };
 
 /// Most bytes of a settings file.
-pub const MAX_FILE: usize = 64 * 1024;
-/// Fewest bytes of a key.
-pub const MIN_KEY: usize = 32;
-/// Most bytes of a key.
-pub const MAX_KEY: usize = 128;
+pub const MAX_FILE_BYTES: usize = 64 * 1024;
+/// Fewest bytes of a secret key.
+pub const MIN_SECRET_BYTES: usize = 32;
+/// Most bytes of a secret key.
+pub const MAX_SECRET_BYTES: usize = 128;
 
 const LISTEN_FORM: &str = "`IP:PORT`, port not 0";
 const ADDRESS: &str = "`IP:PORT`, not 0";
@@ -66,7 +66,7 @@
 pub const KEY_MEMORY: Field =
     Field::number("key_memory_bytes", "bytes", 65_536, 256 * MIB).or(4 * MIB);
 
-/// All fields, by the object that holds them.
+/// All fields, grouped by the object that contains them.
 pub const SECTIONS: &[Section] = &[
     Section {
         name: "settings",
