--- a/crates/core/tests/config_check.rs
+++ b/crates/core/tests/config_check.rs
@@ -1,4 +1,5 @@
-//! Checks of a published configuration: what is refused, and that all of it is told at once.
+//! Checks of a published configuration: which values are refused, and that all faults are reported
+//! at once.
 
 #![expect(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
@@ -23,8 +24,9 @@
 const VITALBOX: &str = include_str!("../../../examples/vitalbox.json");
 const TERENNI: &str = include_str!("../../../examples/terenni.json");
 
-/// What is set in the example, to what (null: taken out), and the path of the only fault.
-const WRONG: &str = r#"[
+/// Cases: the JSON pointer of a field in the example, its invalid value (null removes the field),
+/// and the path of the only fault that follows.
+const INVALID_VALUES: &str = r#"[
 ["/policy/load_multiple", 1.0, "policy.load_multiple"],
 ["/policy/load_multiple", "1.25", "policy.load_multiple"],
 ["/policy/max_attempts", 0, "policy.max_attempts"],
@@ -74,6 +76,7 @@
 ["/orders", {}, ""]
 ]"#;
 
+/// Gets the faults of a document; none if it is valid.
 fn faults(document: &Value) -> Vec<Fault> {
     let bytes = serde_json::to_vec(document).unwrap();
     Config::try_from(&bytes[..]).err().unwrap_or_default()
@@ -83,16 +86,17 @@
     serde_json::from_str(VITALBOX).unwrap()
 }
 
-/// Sets the value at a JSON pointer in the example; null takes the field out.
-fn with(changes: &[(&str, Value)]) -> Value {
+/// Gets the example with the value at each JSON pointer replaced; null removes the field. In a
+/// field's name, `~` stands for `/`.
+fn example_with(changes: &[(&str, Value)]) -> Value {
     let mut out = example();
     for (pointer, value) in changes {
         let (parent, name) = pointer.rsplit_once('/').unwrap();
         let name = name.replace('~', "/");
-        let parent = out.pointer_mut(parent).unwrap().as_object_mut().unwrap();
+        let fields = out.pointer_mut(parent).unwrap().as_object_mut().unwrap();
         match value {
-            Value::Null => drop(parent.remove(&name).unwrap()),
-            value => drop(parent.insert(name, value.clone())),
+            Value::Null => drop(fields.remove(&name).unwrap()),
+            value => drop(fields.insert(name, value.clone())),
         }
     }
     out
@@ -103,13 +107,13 @@
 }
 
 #[gtest]
-fn verify_the_examples_are_valid_and_of_the_sizes_of_today() {
-    for (text, engines, centers) in [(VITALBOX, 12, 4), (TERENNI, 10, 4)] {
+fn verify_the_examples_are_valid_and_of_the_expected_sizes() {
+    for (text, engines, data_centers) in [(VITALBOX, 12, 4), (TERENNI, 10, 4)] {
         let config = Config::try_from(text.as_bytes()).unwrap();
         let kinds = config.endpoints.iter().map(|(_, e)| e.kind);
         expect_that!(kinds.filter(|k| *k == Kind::Engine).count(), eq(engines));
         expect_that!(config.endpoints.len(), eq(engines + 4));
-        expect_that!(config.policy.data_centers.len(), eq(centers));
+        expect_that!(config.policy.data_centers.len(), eq(data_centers));
         expect_that!(config.workspaces.len(), eq(10));
         expect_that!(config.fleet.len(), eq(7));
         expect_that!(config.epoch, eq(config.revision));
@@ -117,7 +121,7 @@
 }
 
 #[gtest]
-fn verify_defaults_fill_what_is_absent() {
+fn verify_absent_fields_have_their_defaults() {
     let document = json!({
         "fleet": {"r1": {"address": "10.0.0.1:1", "peer_address": "10.0.0.1:2", "data_center": "a"}},
         "models": {"m": {"version": "v1"}},
@@ -137,12 +141,11 @@
 
 #[gtest]
 fn verify_each_fault_names_its_path() {
-    // Symptom: a mistake of an operator takes effect, or a refusal doesn't say where it is.
-    // Sequence: one field of a valid configuration is made wrong, and the whole is checked.
-    // Cause: a check that is missing, or that names another field.
-    let cases: Vec<(String, Value, String)> = serde_json::from_str(WRONG).unwrap();
+    // Guards against an operator's mistake that takes effect, or a refusal that doesn't say where
+    // the mistake is, because a check is missing or names another field.
+    let cases: Vec<(String, Value, String)> = serde_json::from_str(INVALID_VALUES).unwrap();
     for (pointer, value, path) in cases {
-        let found = faults(&with(&[(&pointer, value.clone())]));
+        let found = faults(&example_with(&[(&pointer, value.clone())]));
         let lines: Vec<String> = found.iter().map(Fault::to_string).collect();
         expect_that!(paths(&found), eq(&BTreeSet::from([&path[..]])), "{lines:?}");
         expect_that!(found.len(), eq(1), "{pointer} = {value}: {lines:?}");
@@ -150,11 +153,11 @@
 }
 
 #[gtest]
-fn verify_all_faults_are_told_at_once() {
-    // Symptom: an operator mends one fault, publishes again and meets the next.
-    // Sequence: faults in several entries, two of them in one, and one that only two entries tell.
-    // Cause: a check that stops at the first.
-    let document = with(&[
+fn verify_all_faults_are_reported_at_once() {
+    // Guards against a check that stops at the first fault, so that an operator corrects one and
+    // meets the next at the next publish. The document has faults in several entries, several in
+    // one entry, and an address that is a fault only because two entries share it.
+    let document = example_with(&[
         ("/policy/lease_ms", json!("2s")),
         ("/policy/extra", json!(1)),
         ("/models/assistant/version", json!(7)),
@@ -175,19 +178,19 @@
     ];
     expect_that!(paths(&found), eq(&BTreeSet::from(expected)));
     let lines: Vec<String> = found.iter().map(Fault::to_string).collect();
-    let lease = "policy.lease_ms: found \"2s\", expected a whole number (ms), 50 to 60000";
-    expect_true!(lines.iter().any(|l| l == lease));
+    let lease_line = "policy.lease_ms: found \"2s\", expected a whole number (ms), 50 to 60000";
+    expect_true!(lines.iter().any(|l| l == lease_line));
 }
 
 #[gtest]
-fn verify_a_key_hash_counts_once_over_all_workspaces_and_is_never_shown() {
-    // Symptom: one customer's requests use up another's limit; a bearer key stands in a log.
-    // Sequence: a hash is copied to a second workspace; a key is written in the place of its hash.
-    // Cause: hashes compared within a workspace only; the value found is part of the fault.
+fn verify_a_key_hash_is_unique_over_all_workspaces_and_never_shown() {
+    // Guards against requests of one customer that use up another's limit: a hash is copied to a
+    // second workspace, and hashes are compared only within a workspace. Also guards against a
+    // bearer key in a log: a key is written in place of its hash, and the fault shows the value.
     let hash = example()["workspaces"]["renewals"]["key_sha256"].clone();
-    let found = faults(&with(&[("/workspaces/staging/key_sha256", hash)]));
+    let found = faults(&example_with(&[("/workspaces/staging/key_sha256", hash)]));
     expect_that!(found.len(), eq(1));
-    let found = faults(&with(&[(
+    let found = faults(&example_with(&[(
         "/workspaces/staging/key_sha256",
         json!(["sk-secret"]),
     )]));
@@ -197,11 +200,10 @@
 
 #[gtest]
 fn verify_a_field_given_twice_is_refused() {
-    // Symptom: a limit that stands in the file is not in force.
-    // Sequence: a field or a name is written twice with two values.
-    // Cause: a JSON map that keeps the last.
-    let twice = VITALBOX.replacen("\"priority\": 8", "\"priority\": 8, \"priority\": 1", 1);
-    let faults = Config::try_from(twice.as_bytes()).unwrap_err();
+    // Guards against a limit in the file that is not in force: a field or a name is written twice
+    // with two values, and a JSON map keeps the last.
+    let duplicate = VITALBOX.replacen("\"priority\": 8", "\"priority\": 8, \"priority\": 1", 1);
+    let faults = Config::try_from(duplicate.as_bytes()).unwrap_err();
     expect_that!(
         faults[0].found,
         contains_substring("\"priority\" given twice")
@@ -210,11 +212,10 @@
 
 #[gtest]
 fn verify_size_depth_and_number_of_faults_are_bounded() {
-    // Symptom: a publish of rubbish takes a router's memory or stack, or fills its log.
-    // Sequence: a value above a megabyte; a nest of 100,000 lists; 1,000 broken workspaces.
-    // Cause: a reader without bounds.
+    // Guards against a malformed publish that exhausts a router's memory or stack or fills its log:
+    // a value above 1 MiB, 100,000 nested lists, or 1,000 invalid workspaces.
     let long = "x".repeat(1 << 20);
-    let found = faults(&with(&[("/models/assistant/version", json!(long))]));
+    let found = faults(&example_with(&[("/models/assistant/version", json!(long))]));
     expect_that!(found[0].expected, eq("at most 1048576 bytes"));
     let deep = "[".repeat(100_000);
     expect_that!(Config::try_from(deep.as_bytes()).unwrap_err().len(), eq(1));
@@ -227,9 +228,8 @@
 
 #[gtest]
 fn verify_names_that_share_a_tag_are_refused() {
-    // Symptom: a peer's load report for one workspace counts for another.
-    // Sequence: two names whose 32-bit hashes are equal are published.
-    // Cause: peers name things by tag.
+    // Guards against a peer's load report for one workspace that is counted for another: peers
+    // identify entries by a 32-bit hash of the name, the tag, and two published names share one.
     let mut seen = std::collections::HashMap::new();
     let name = |i: u32| format!("w{i}");
     let tag = |i: u32| toucanturn_core::ids::Tag::of(name(i).as_bytes());
@@ -246,7 +246,7 @@
 }
 
 #[gtest]
-fn verify_a_file_splits_into_the_published_keys() {
+fn verify_a_file_splits_into_its_keys() {
     let parts = document::split(VITALBOX.as_bytes()).unwrap();
     let keys: Vec<_> = parts
         .iter()
@@ -256,10 +256,10 @@
     expect_true!(keys.contains(&"policy"));
     expect_true!(keys.contains(&"fleet"));
     expect_true!(keys.contains(&"endpoints/engine-12"));
-    let whole = example();
+    let document = example();
     for (key, value) in &parts {
         let value: Value = serde_json::from_slice(value).unwrap();
         let pointer = format!("/{}", std::str::from_utf8(key).unwrap());
-        expect_that!(whole.pointer(&pointer), some(eq(&value)));
+        expect_that!(document.pointer(&pointer), some(eq(&value)));
     }
 }
--- a/crates/core/tests/config_fuzz.rs
+++ b/crates/core/tests/config_fuzz.rs
@@ -1,4 +1,4 @@
-//! Any bytes from outside give a value or faults, never a panic.
+//! Fuzz tests: any input bytes give a value or a list of faults, never a panic.
 
 use bytes::Bytes;
 use proptest::{
@@ -27,8 +27,8 @@
     include_str!("../../../examples/terenni.settings.json"),
 ];
 
-/// What stands in the place of a part of a valid file.
-const PIECES: [&str; 16] = [
+/// Texts that replace a part of a valid file.
+const REPLACEMENTS: [&str; 16] = [
     "null",
     "-1",
     "1e308",
@@ -47,28 +47,32 @@
     ",,",
 ];
 
-/// `Cut` replaces a part of a file by a piece.
-type Cut = (prop::sample::Index, usize, usize);
+/// `Replacement` is a start in a file, the number of bytes removed there, and a number that picks
+/// the text of [`REPLACEMENTS`] to insert.
+type Replacement = (prop::sample::Index, usize, usize);
 
-fn cut(file: &str, cuts: &[Cut]) -> Vec<u8> {
+fn replace_parts(file: &str, replacements: &[Replacement]) -> Vec<u8> {
     let mut out = file.as_bytes().to_vec();
-    for (at, len, piece) in cuts {
+    for (at, len, pick) in replacements {
         let start = at.index(out.len() + 1);
         let end = out.len().min(start + len);
-        out.splice(start..end, PIECES[piece % PIECES.len()].bytes());
+        out.splice(start..end, REPLACEMENTS[pick % REPLACEMENTS.len()].bytes());
     }
     out
 }
 
-fn read(bytes: &[u8]) -> (bool, bool) {
+/// Parses bytes as configuration, as settings and as a document to split. Returns whether each
+/// refusal has a bounded number of faults and every valid configuration splits, and whether the
+/// configuration is valid.
+fn parse(bytes: &[u8]) -> (bool, bool) {
     let bounded = |n: usize| (1..=MAX_FAULTS + 2).contains(&n);
     let config = Config::try_from(bytes).map_err(|f| f.len());
     let settings = Settings::try_from(bytes).map_err(|f| f.len());
     let split = document::split(bytes).map_err(|f| f.len());
-    let whole = config.as_ref().err().is_none_or(|n| bounded(*n))
+    let consistent = config.as_ref().err().is_none_or(|n| bounded(*n))
         && settings.as_ref().err().is_none_or(|n| bounded(*n))
         && split.is_err() <= config.is_err();
-    (whole, config.is_ok())
+    (consistent, config.is_ok())
 }
 
 fn any_entry() -> impl Strategy<Value = Entry> {
@@ -82,8 +86,8 @@
         Just(Vec::new()),
         prop::collection::vec(any::<u8>(), 0..40),
         (0..FILES.len(), any::<prop::sample::Index>()).prop_map(|(file, at)| {
-            let whole: serde_json::Value = serde_json::from_str(FILES[file]).unwrap_or_default();
-            let parts = whole.as_object().map(|o| o.values().collect::<Vec<_>>());
+            let document: serde_json::Value = serde_json::from_str(FILES[file]).unwrap_or_default();
+            let parts = document.as_object().map(|o| o.values().collect::<Vec<_>>());
             let parts = parts.unwrap_or_default();
             parts[at.index(parts.len())].to_string().into_bytes()
         }),
@@ -103,31 +107,27 @@
         ..ProptestConfig::default()
     })]
 
-    // Symptom: one broken file or publish ends every process that reads it.
-    // Sequence: any bytes are read.
-    // Cause: a decoder that trusts its input.
+    // Guards against a decoder that trusts its input, so that one malformed file or publish crashes
+    // every process that reads it.
     #[test]
     fn verify_any_bytes_give_a_value_or_faults(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        prop_assert!(read(&bytes).0);
+        prop_assert!(parse(&bytes).0);
     }
 
-    // Symptom: as above, for bytes that get past the first layers.
-    // Sequence: parts of a valid file are cut out and replaced.
-    // Cause: as above.
+    // Guards against the same failure for input that passes the first layers of decoding: parts of
+    // a valid file are replaced.
     #[test]
     fn verify_a_damaged_file_gives_a_value_or_faults(
         file in 0..FILES.len(),
-        cuts in prop::collection::vec((any::<prop::sample::Index>(), 0..30_usize, any::<usize>()), 1..4),
+        replacements in prop::collection::vec((any::<prop::sample::Index>(), 0..30_usize, any::<usize>()), 1..4),
     ) {
-        prop_assert!(read(&cut(FILES[file], &cuts)).0);
+        prop_assert!(parse(&replace_parts(FILES[file], &replacements)).0);
     }
 
-    // Symptom: one rubbish answer of the configuration service ends a router or shakes what is in
-    // force.
-    // Sequence: changes of any keys, values and revisions are merged.
-    // Cause: a merge that trusts its input.
+    // Guards against a merge that trusts its input, so that one malformed answer of the
+    // configuration service crashes a router or puts an older revision in force.
     #[test]
-    fn verify_rubbish_changes_never_end_a_router_or_go_back(
+    fn verify_arbitrary_changes_cause_no_panic_and_never_go_back(
         changes in prop::collection::vec(
             (0..6_u64, 0..8_u64, prop::collection::vec(any_entry(), 0..6)), 1..8),
     ) {
--- a/crates/core/tests/config_merge.rs
+++ b/crates/core/tests/config_merge.rs
@@ -1,5 +1,5 @@
-//! Merging of published revisions: what is in force after gaps, overlaps, deletions, rubbish and
-//! refused revisions, and that routers that exchange changes end alike.
+//! Merging of published revisions: what is in force after gaps, overlaps, deletions, malformed
+//! changes and refused revisions, and that routers that exchange changes converge.
 
 #![expect(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
@@ -29,18 +29,18 @@
     "r2": {"address": "10.0.0.2:1", "peer_address": "10.0.0.2:2", "data_center": "a"}}"#;
 const MODEL: &str = r#"{"version": "v1"}"#;
 
-/// One write: keys with values, `None` for deletions.
+/// The keys of one published revision with their values, `None` for deletions.
 type Write = Vec<(String, Option<String>)>;
 
-/// All that was ever published; the write at index `i` has revision `i + 1`.
+/// All writes ever published; the write at index `i` has revision `i + 1`.
 #[derive(Clone, Debug, Default)]
 struct History(Vec<Write>);
 
 impl History {
     /// Gets the newest entry of each key at a revision.
-    fn content(&self, at: u64) -> BTreeMap<String, Entry> {
+    fn content(&self, revision: u64) -> BTreeMap<String, Entry> {
         let mut out = BTreeMap::new();
-        for (write, revision) in self.0.iter().zip(1..=at) {
+        for (write, revision) in self.0.iter().zip(1..=revision) {
             for (key, value) in write {
                 let entry = Entry {
                     key: key.clone().into(),
@@ -53,15 +53,15 @@
         out
     }
 
-    /// Gets the service's answer to a read after `since` when it is at revision `at`. The entries
-    /// of its newest revision are all there, also where older deletions are left out.
-    fn change(&self, since: u64, at: u64, tombstones: Tombstones) -> Change {
+    /// Gets the service's answer to a read after `since` when it is at revision `at`. The answer
+    /// always has all entries of that revision, also where it omits older deletions.
+    fn change(&self, since: u64, at: u64, deletions: Deletions) -> Change {
         let entries = self.content(at).into_values();
-        let named = |e: &Entry| {
+        let included = |e: &Entry| {
             let newest = e.revision.0 == at;
-            e.value.is_some() || since > 0 || newest || tombstones == Tombstones::Named
+            e.value.is_some() || since > 0 || newest || deletions == Deletions::Included
         };
-        let newer = entries.filter(|e| e.revision.0 > since && named(e));
+        let newer = entries.filter(|e| e.revision.0 > since && included(e));
         let mut entries: Vec<Entry> = newer.collect();
         entries.sort_by_key(|e| e.revision);
         Change {
@@ -72,17 +72,20 @@
         }
     }
 
-    /// Tells whether the content at a revision is valid, by a check from nothing.
-    fn valid(&self, at: u64) -> bool {
+    /// Tells whether an empty store accepts the content at a revision.
+    fn is_valid(&self, revision: u64) -> bool {
         let mut store = Store::default();
-        store.apply(&self.change(0, at, Tombstones::Named)).is_ok()
+        store
+            .apply(&self.change(0, revision, Deletions::Included))
+            .is_ok()
     }
 }
 
+/// `Deletions` says whether a snapshot names the deletions before its newest revision.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Tombstones {
-    Named,
-    LeftOut,
+enum Deletions {
+    Included,
+    Omitted,
 }
 
 fn write(entries: &[(&str, Option<&str>)]) -> Write {
@@ -98,7 +101,7 @@
     )
 }
 
-/// Revisions: 1 and 2 valid, 3 valid, 4 refused (a workspace names no model), 5 valid again.
+/// Revisions 1 to 3 are valid, 4 is not (a workspace names a deleted model), 5 is valid again.
 fn history() -> History {
     History(vec![
         write(&[("fleet", Some(FLEET)), ("models/m", Some(MODEL))]),
@@ -109,10 +112,12 @@
     ])
 }
 
-fn at(store: &Store) -> (u64, u64) {
+/// Gets the revision in force and the newest one held.
+fn revisions(store: &Store) -> (u64, u64) {
     (store.current().revision.0, store.held().0)
 }
 
+/// Gets the names of the routers, models and workspaces in force.
 fn names(store: &Store) -> Vec<String> {
     let config = store.current();
     let kinds = [
@@ -133,7 +138,7 @@
     out
 }
 
-/// Brings `to` what `from` holds, as a pull and its answers do.
+/// Applies to `to` the changes with which `from` answers a pull.
 fn pull(to: &mut Store, from: &Store) {
     for change in from.after(to.current().revision) {
         let _ = to.apply(&change);
@@ -142,15 +147,15 @@
 
 #[gtest]
 fn verify_a_refused_revision_leaves_the_old_one_in_force() {
-    // Symptom: an operator's mistake stops a fleet that ran.
-    // Sequence: valid revisions, one that deletes a model in use, one that mends it.
-    // Cause: a configuration that is put in force before, or in part after, its check.
+    // Guards against an operator's mistake that stops a running fleet: a revision deletes a model
+    // in use, and is put in force before its check, or in part after it. The next valid revision
+    // must come into force.
     let (history, mut store) = (history(), Store::default());
     for revision in 1..=3 {
-        let change = history.change(revision - 1, revision, Tombstones::Named);
+        let change = history.change(revision - 1, revision, Deletions::Included);
         store.apply(&change).unwrap();
     }
-    let refused = store.apply(&history.change(3, 4, Tombstones::Named));
+    let refused = store.apply(&history.change(3, 4, Deletions::Included));
     let Err(Error::Invalid { faults }) = refused else {
         panic!("{refused:?}");
     };
@@ -158,15 +163,15 @@
         faults[0].to_string(),
         starts_with("workspaces/w.models[0]: found \"m\"")
     );
-    expect_that!(at(&store), eq((3, 4)));
+    expect_that!(revisions(&store), eq((3, 4)));
     expect_that!(
         names(&store),
         elements_are![eq("m"), eq("n"), eq("r1"), eq("r2"), eq("w")]
     );
     store
-        .apply(&history.change(4, 5, Tombstones::Named))
+        .apply(&history.change(4, 5, Deletions::Included))
         .unwrap();
-    expect_that!(at(&store), eq((5, 5)));
+    expect_that!(revisions(&store), eq((5, 5)));
     expect_that!(
         names(&store),
         elements_are![eq("n"), eq("r1"), eq("r2"), eq("w")]
@@ -175,19 +180,18 @@
 
 #[gtest]
 fn verify_the_fleet_is_never_deleted() {
-    // Symptom: every router drops every peer at once.
-    // Sequence: the key `fleet` is deleted, or the service answers with a snapshot without it.
-    // Cause: an absent key that is read as an empty fleet.
+    // Guards against routers that drop all peers at once: the key `fleet` is deleted or missing
+    // from a snapshot, and is read as an empty fleet.
     let mut history = history();
     history.0.truncate(3);
     history.0.push(write(&[("fleet", None)]));
     let mut store = Store::default();
     store
-        .apply(&history.change(0, 3, Tombstones::Named))
+        .apply(&history.change(0, 3, Deletions::Included))
         .unwrap();
     for change in [
-        history.change(3, 4, Tombstones::Named),
-        history.change(0, 4, Tombstones::LeftOut),
+        history.change(3, 4, Deletions::Included),
+        history.change(0, 4, Deletions::Omitted),
     ] {
         expect_that!(store.apply(&change), err(anything()));
         expect_that!(store.current().fleet.len(), eq(2));
@@ -197,114 +201,110 @@
 
 #[gtest]
 fn verify_a_fresh_router_gets_the_valid_revision_below_a_refused_one() {
-    // Symptom: a replaced VM has no configuration until the operators mend the newest revision.
-    // Sequence: revision 4 is refused everywhere; a router starts and asks a peer.
-    // Cause: a peer that hands over only the newest content.
+    // Guards against a replaced VM without a configuration until operators correct the newest
+    // revision: all routers refuse revision 4, and a peer hands over only the newest content.
     let (history, mut old, mut fresh) = (history(), Store::default(), Store::default());
-    let _ = old.apply(&history.change(0, 3, Tombstones::Named));
-    let _ = old.apply(&history.change(3, 4, Tombstones::Named));
+    let _ = old.apply(&history.change(0, 3, Deletions::Included));
+    let _ = old.apply(&history.change(3, 4, Deletions::Included));
     pull(&mut fresh, &old);
-    expect_that!(at(&fresh), eq((3, 4)));
+    expect_that!(revisions(&fresh), eq((3, 4)));
     let mut alone = Store::default();
     expect_that!(
-        alone.apply(&history.change(0, 4, Tombstones::Named)),
+        alone.apply(&history.change(0, 4, Deletions::Included)),
         err(anything())
     );
-    expect_that!(at(&alone), eq((0, 4)));
+    expect_that!(revisions(&alone), eq((0, 4)));
     pull(&mut alone, &fresh);
-    expect_that!(at(&alone), eq((3, 4)));
+    expect_that!(revisions(&alone), eq((3, 4)));
     expect_that!(names(&alone), eq(&names(&old)));
 }
 
 #[gtest]
 fn verify_a_router_that_skipped_a_valid_revision_gets_it_from_a_peer() {
-    // Symptom: two routers differ for as long as the newest revision is invalid.
-    // Sequence: one reads 3 and 4 apart, the other both in one delta after 2; 4 is refused.
-    // Cause: a router that compares the numbers it holds, not those in force.
+    // Guards against two routers that differ while the newest revision is invalid: one reads 3 and
+    // 4 separately, the other both in one delta after 2, 4 is refused, and they compare the
+    // revisions that they hold instead of those in force.
     let (history, mut one, mut other) = (history(), Store::default(), Store::default());
-    let _ = one.apply(&history.change(0, 3, Tombstones::Named));
-    let _ = other.apply(&history.change(0, 2, Tombstones::Named));
-    let _ = other.apply(&history.change(2, 4, Tombstones::Named));
-    expect_that!(at(&other), eq((2, 4)));
+    let _ = one.apply(&history.change(0, 3, Deletions::Included));
+    let _ = other.apply(&history.change(0, 2, Deletions::Included));
+    let _ = other.apply(&history.change(2, 4, Deletions::Included));
+    expect_that!(revisions(&other), eq((2, 4)));
     pull(&mut other, &one);
-    expect_that!(at(&other), eq((3, 4)));
+    expect_that!(revisions(&other), eq((3, 4)));
     pull(&mut one, &other);
-    expect_that!(at(&one), eq((3, 4)));
+    expect_that!(revisions(&one), eq((3, 4)));
     for store in [&mut one, &mut other] {
         store
-            .apply(&history.change(4, 5, Tombstones::Named))
+            .apply(&history.change(4, 5, Deletions::Included))
             .unwrap();
-        expect_that!(at(store), eq((5, 5)));
+        expect_that!(revisions(store), eq((5, 5)));
     }
 }
 
 #[gtest]
 fn verify_a_stale_or_broken_service_changes_nothing() {
-    // Symptom: an older configuration comes back, or a rubbish answer takes entries away.
-    // Sequence: the service answers with an older snapshot, a delta with a gap, an empty
-    // snapshot, two values of one key at one revision, an entry above the change's own revision,
-    // a value too long.
-    // Cause: a merge that believes the answer.
+    // Guards against a merge that trusts the service, so that an older configuration returns or
+    // entries are lost: it answers with an older snapshot, a delta with a gap, an empty snapshot,
+    // two values of one key at one revision, an entry above the change's own revision, or a value
+    // that is too long.
     let (history, mut store) = (history(), Store::default());
     store
-        .apply(&history.change(0, 3, Tombstones::Named))
+        .apply(&history.change(0, 3, Deletions::Included))
         .unwrap();
-    let before = (at(&store), names(&store));
-    let mut twice = history.change(3, 5, Tombstones::Named);
-    let mut other = twice.entries[0].clone();
+    let before = (revisions(&store), names(&store));
+    let mut duplicate = history.change(3, 5, Deletions::Included);
+    let mut other = duplicate.entries[0].clone();
     other.value = Some(Bytes::from_static(b"{}"));
-    twice.entries.push(other);
-    let mut above = history.change(3, 5, Tombstones::Named);
-    above.revision = Revision(4);
-    let mut long = history.change(3, 5, Tombstones::Named);
-    long.entries[0].value = Some(Bytes::from(vec![b' '; (1 << 20) + 1]));
+    duplicate.entries.push(other);
+    let mut entry_above = history.change(3, 5, Deletions::Included);
+    entry_above.revision = Revision(4);
+    let mut too_long = history.change(3, 5, Deletions::Included);
+    too_long.entries[0].value = Some(Bytes::from(vec![b' '; (1 << 20) + 1]));
     let empty = Change {
         revision: Revision(9),
         ..Change::default()
     };
-    let wrong = [
-        history.change(0, 2, Tombstones::Named),
-        history.change(0, 3, Tombstones::LeftOut),
-        history.change(4, 5, Tombstones::Named),
-        twice,
-        above,
-        long,
+    let refused = [
+        history.change(0, 2, Deletions::Included),
+        history.change(0, 3, Deletions::Omitted),
+        history.change(4, 5, Deletions::Included),
+        duplicate,
+        entry_above,
+        too_long,
         empty,
     ];
-    for change in wrong {
+    for change in refused {
         expect_that!(store.apply(&change), err(anything()));
-        expect_that!((at(&store), names(&store)), eq(&before));
+        expect_that!((revisions(&store), names(&store)), eq(&before));
     }
 }
 
 #[gtest]
-fn verify_a_number_above_all_entries_hides_no_later_one() {
-    // Symptom: one revision never reaches a router, though it reads on.
-    // Sequence: the service reads its entries, is written to, then reads its number: the answer
-    // says revision 3 and lacks the entry of 3.
-    // Cause: a reader that takes the number and asks only for what is above it.
+fn verify_a_change_numbered_above_its_entries_hides_no_later_entry() {
+    // Guards against a revision that never reaches a router: the service reads its entries, is
+    // written to, then reads its revision, so that its answer says 3 and lacks the entry of 3. A
+    // router that takes that revision asks only for entries above it.
     let (history, mut store) = (history(), Store::default());
-    let mut torn = history.change(0, 2, Tombstones::Named);
-    torn.revision = Revision(3);
-    store.apply(&torn).unwrap();
-    expect_that!(at(&store), eq((2, 2)));
+    let mut inconsistent = history.change(0, 2, Deletions::Included);
+    inconsistent.revision = Revision(3);
+    store.apply(&inconsistent).unwrap();
+    expect_that!(revisions(&store), eq((2, 2)));
     store
-        .apply(&history.change(store.held().0, 3, Tombstones::Named))
+        .apply(&history.change(store.held().0, 3, Deletions::Included))
         .unwrap();
     expect_that!(names(&store), contains(eq("n")));
 }
 
 #[gtest]
-fn verify_rubbish_far_above_hides_no_later_revision() {
-    // Symptom: after a moment of rubbish a router misses every later publish.
-    // Sequence: the service once answers with an entry of revision 1,000,000 that is refused; it
-    // recovers; operators publish 4 and 5.
-    // Cause: a reader that only asks for what is above the newest it holds.
+fn verify_an_invalid_entry_at_a_far_higher_revision_hides_no_later_revision() {
+    // Guards against a router that misses every later publish: the service answers once with an
+    // invalid entry of revision 1,000,000 and recovers, operators publish 4 and 5, and the router
+    // only asks for entries above the newest revision that it holds.
     let (history, mut store) = (history(), Store::default());
     store
-        .apply(&history.change(0, 3, Tombstones::Named))
+        .apply(&history.change(0, 3, Deletions::Included))
         .unwrap();
-    let rubbish = Change {
+    let invalid = Change {
         since: Revision(3),
         revision: Revision(1_000_000),
         floor: None,
@@ -314,13 +314,13 @@
             value: Some("{}".into()),
         }],
     };
-    expect_that!(store.apply(&rubbish), err(anything()));
-    expect_that!(at(&store), eq((3, 1_000_000)));
+    expect_that!(store.apply(&invalid), err(anything()));
+    expect_that!(revisions(&store), eq((3, 1_000_000)));
     for _ in 0..2 {
         let since = store.next_read().0;
-        let _ = store.apply(&history.change(since.min(5), 5, Tombstones::Named));
+        let _ = store.apply(&history.change(since.min(5), 5, Deletions::Included));
     }
-    expect_that!(at(&store).0, eq(5));
+    expect_that!(revisions(&store).0, eq(5));
     expect_that!(
         names(&store),
         elements_are![eq("n"), eq("r1"), eq("r2"), eq("w")]
@@ -329,20 +329,19 @@
 
 #[gtest]
 fn verify_a_key_given_at_two_revisions_has_the_newer_value() {
-    // Symptom: an older value of a key is in force under the newer revision.
-    // Sequence: a service answers with every write since, and the newer write comes first.
-    // Cause: a merge by order of arrival.
+    // Guards against an older value in force under a newer revision: the service answers with all
+    // writes since, the newer one first, and the merge goes by order of arrival.
     let (history, mut store) = (history(), Store::default());
     store
-        .apply(&history.change(0, 3, Tombstones::Named))
+        .apply(&history.change(0, 3, Deletions::Included))
         .unwrap();
-    let mut both = history.change(3, 5, Tombstones::Named);
+    let mut both = history.change(3, 5, Deletions::Included);
     both.entries
-        .extend(history.change(1, 2, Tombstones::Named).entries);
+        .extend(history.change(1, 2, Deletions::Included).entries);
     both.entries
-        .extend(history.change(3, 4, Tombstones::Named).entries);
+        .extend(history.change(3, 4, Deletions::Included).entries);
     store.apply(&both).unwrap();
-    expect_that!(at(&store), eq((5, 5)));
+    expect_that!(revisions(&store), eq((5, 5)));
     expect_that!(
         names(&store),
         elements_are![eq("n"), eq("r1"), eq("r2"), eq("w")]
@@ -351,25 +350,24 @@
 
 #[gtest]
 fn verify_a_deletion_that_a_snapshot_lacks_comes_with_the_next_read() {
-    // Symptom: a deleted workspace keeps its access.
-    // Sequence: the newest revision is a deletion alone, and the service's snapshot, against its
-    // protocol, leaves it out; a router that has the key reads it, then reads on.
-    // Cause: a snapshot that is only added to what is held.
+    // Guards against a deleted workspace that keeps its access: the newest revision is only a
+    // deletion, the service's snapshot omits it against the protocol, and a router that has the
+    // key only adds the snapshot to what it holds.
     let (mut history, mut store) = (history(), Store::default());
     history.0.truncate(3);
     history.0.push(write(&[("workspaces/w", None)]));
     store
-        .apply(&history.change(0, 2, Tombstones::Named))
+        .apply(&history.change(0, 2, Deletions::Included))
         .unwrap();
-    let mut lacking = history.change(0, 4, Tombstones::LeftOut);
-    lacking.entries.retain(|e| e.value.is_some());
-    store.apply(&lacking).unwrap();
+    let mut incomplete = history.change(0, 4, Deletions::Omitted);
+    incomplete.entries.retain(|e| e.value.is_some());
+    store.apply(&incomplete).unwrap();
     expect_that!(store.current().workspaces.len(), eq(0));
-    expect_that!(at(&store), eq((3, 3)));
+    expect_that!(revisions(&store), eq((3, 3)));
     store
-        .apply(&history.change(3, 4, Tombstones::Named))
+        .apply(&history.change(3, 4, Deletions::Included))
         .unwrap();
-    expect_that!(at(&store), eq((4, 4)));
+    expect_that!(revisions(&store), eq((4, 4)));
     expect_that!(
         names(&store),
         elements_are![eq("m"), eq("n"), eq("r1"), eq("r2")]
@@ -378,9 +376,9 @@
 
 #[gtest]
 fn verify_arena_keys_outlive_revisions() {
-    // Symptom: a router forgets loads and limits at each of 21,000 publishes a day.
-    // Sequence: a model and a workspace are published again; a snapshot comes again.
-    // Cause: arenas that are built anew.
+    // Guards against a router that loses its loads and limits at each of 21,000 publishes a day:
+    // a model and a workspace are published again, or a snapshot is read again, and the arenas are
+    // rebuilt.
     let (mut history, mut store) = (history(), Store::default());
     history.0.truncate(3);
     history.0.push(write(&[
@@ -391,7 +389,7 @@
         .0
         .push(write(&[("workspaces/w", Some(&workspace("m")))]));
     store
-        .apply(&history.change(0, 3, Tombstones::Named))
+        .apply(&history.change(0, 3, Deletions::Included))
         .unwrap();
     let id = |name: &str| Id::try_from(name).unwrap();
     let keys = |s: &Store| {
@@ -404,7 +402,7 @@
     };
     let before = keys(&store);
     store
-        .apply(&history.change(0, 5, Tombstones::LeftOut))
+        .apply(&history.change(0, 5, Deletions::Omitted))
         .unwrap();
     expect_that!(keys(&store), eq(before));
     expect_that!(store.current().models.len(), eq(1));
@@ -412,11 +410,10 @@
 }
 
 #[gtest]
-fn verify_deletions_are_forgotten_only_behind_a_snapshot() {
-    // Symptom: a deleted workspace keeps its access on a router that was cut off for long.
-    // Sequence: a router is cut off at revision 2; more keys are deleted than are remembered;
-    // it asks a peer for what it missed.
-    // Cause: a bounded list of deletions without a word on where it starts.
+fn verify_a_peer_older_than_the_remembered_deletions_gets_a_snapshot() {
+    // Guards against a deleted workspace that keeps its access on a router cut off for long: more
+    // keys are deleted after revision 2 than peers remember, the router asks a peer for what it
+    // missed, and the bounded list of deletions doesn't say at which revision it starts.
     let mut history = history();
     history.0.truncate(2);
     let (mut lagging, mut store) = (Store::default(), Store::default());
@@ -430,14 +427,14 @@
         history.0.push(write(&[(&format!("models/m{i}"), None)]));
     }
     lagging
-        .apply(&history.change(0, 2, Tombstones::Named))
+        .apply(&history.change(0, 2, Deletions::Included))
         .unwrap();
     store
-        .apply(&history.change(0, 1, Tombstones::Named))
+        .apply(&history.change(0, 1, Deletions::Included))
         .unwrap();
     let end = history.0.len() as u64;
     store
-        .apply(&history.change(1, end, Tombstones::Named))
+        .apply(&history.change(1, end, Deletions::Included))
         .unwrap();
     let answer = store.after(Revision(2));
     expect_that!(answer[0].since, eq(Revision(0)));
@@ -447,28 +444,29 @@
     expect_that!(store.after(Revision(end - 1))[0].entries.len(), eq(1));
 }
 
-/// `Step` is one thing that happens to one of the routers.
+/// `Step` is one event at one of the routers.
 #[derive(Clone, Debug)]
 enum Step {
-    /// It reads the service, which is at some revision, after what it holds or from nothing.
+    /// It reads the service, which is at revision `at`: the changes after the newest revision held,
+    /// or a snapshot.
     Read {
         router: usize,
         at: prop::sample::Index,
-        whole: Option<Tombstones>,
+        snapshot: Option<Deletions>,
     },
-    /// A delta that starts anywhere arrives, late or twice.
-    Late {
+    /// A delta that starts at any revision arrives, late or repeated.
+    Delta {
         router: usize,
         since: prop::sample::Index,
         at: prop::sample::Index,
     },
-    /// It pulls from a peer, and the answers arrive in order or not.
+    /// It pulls from a peer; the answers arrive in order or reversed.
     Pull {
         router: usize,
         peer: usize,
-        turned: bool,
+        reversed: bool,
     },
-    /// It is replaced by a fresh one.
+    /// It is replaced by a router with an empty store.
     Replace { router: usize },
 }
 
@@ -522,47 +520,51 @@
 
 fn any_step() -> impl Strategy<Value = Step> {
     let index = any::<prop::sample::Index>;
-    let whole = prop_oneof![
+    let snapshot = prop_oneof![
         Just(None),
-        Just(Some(Tombstones::Named)),
-        Just(Some(Tombstones::LeftOut))
+        Just(Some(Deletions::Included)),
+        Just(Some(Deletions::Omitted))
     ];
     prop_oneof![
-        4 => (0..ROUTERS, index(), whole)
-            .prop_map(|(router, at, whole)| Step::Read { router, at, whole }),
+        4 => (0..ROUTERS, index(), snapshot)
+            .prop_map(|(router, at, snapshot)| Step::Read { router, at, snapshot }),
         2 => (0..ROUTERS, index(), index())
-            .prop_map(|(router, since, at)| Step::Late { router, since, at }),
+            .prop_map(|(router, since, at)| Step::Delta { router, since, at }),
         4 => (0..ROUTERS, 0..ROUTERS, any::<bool>())
-            .prop_map(|(router, peer, turned)| Step::Pull { router, peer, turned }),
+            .prop_map(|(router, peer, reversed)| Step::Pull { router, peer, reversed }),
         1 => (0..ROUTERS).prop_map(|router| Step::Replace { router }),
     ]
 }
 
-fn run(history: &History, stores: &mut [Store], step: &Step) {
+fn apply_step(history: &History, stores: &mut [Store], step: &Step) {
     let end = history.0.len();
     match *step {
-        Step::Read { router, at, whole } => {
-            let since = if whole.is_some() {
+        Step::Read {
+            router,
+            at,
+            snapshot,
+        } => {
+            let since = if snapshot.is_some() {
                 0
             } else {
                 stores[router].held().0
             };
-            let tombstones = whole.unwrap_or(Tombstones::Named);
-            let change = history.change(since, at.index(end) as u64 + 1, tombstones);
+            let deletions = snapshot.unwrap_or(Deletions::Included);
+            let change = history.change(since, at.index(end) as u64 + 1, deletions);
             let _ = stores[router].apply(&change);
         }
-        Step::Late { router, since, at } => {
+        Step::Delta { router, since, at } => {
             let at = at.index(end) + 1;
             let (since, at) = (since.index(at) as u64, at as u64);
-            let _ = stores[router].apply(&history.change(since, at, Tombstones::Named));
+            let _ = stores[router].apply(&history.change(since, at, Deletions::Included));
         }
         Step::Pull {
             router,
             peer,
-            turned,
+            reversed,
         } => {
             let mut changes = stores[peer].after(stores[router].current().revision);
-            if turned {
+            if reversed {
                 changes.reverse();
             }
             for change in changes {
@@ -573,13 +575,13 @@
     }
 }
 
-/// Holds that what is in force is the published content at its revision, and valid.
-fn check(history: &History, store: &Store) -> std::result::Result<(), TestCaseError> {
+/// Checks that the configuration in force is valid and is the published content at its revision.
+fn check_in_force(history: &History, store: &Store) -> std::result::Result<(), TestCaseError> {
     let config = store.current();
     if config.revision == Revision(0) {
         return Ok(());
     }
-    prop_assert!(history.valid(config.revision.0));
+    prop_assert!(history.is_valid(config.revision.0));
     let content = history.content(config.revision.0);
     let live = content.values().filter(|e| e.value.is_some()).count();
     let found = config.models.len() + config.workspaces.len() + 1;
@@ -606,43 +608,44 @@
         ..ProptestConfig::default()
     })]
 
-    // Symptom: routers of one fleet run with different configurations, or one goes back.
-    // Sequence: any: reads late, twice, whole, without deletions, in parts; pulls whose answers
-    // cross; routers that are replaced.
-    // Cause: a merge whose result depends on the order of what it is given.
+    // Guards against routers of one fleet with different configurations, or one that returns to an
+    // older one, because a merge depends on the order of its input: reads that are late, repeated,
+    // whole, partial or without deletions, pulls whose answers cross, and replaced routers.
     #[test]
-    fn verify_any_interleaving_ends_alike_and_never_goes_back(
+    fn verify_any_interleaving_converges_and_never_goes_back(
         history in any_history(),
         steps in prop::collection::vec(any_step(), 0..24),
     ) {
         let mut stores: Vec<Store> = (0..ROUTERS).map(|_| Store::default()).collect();
         for step in &steps {
-            let before: Vec<_> = stores.iter().map(at).collect();
-            run(&history, &mut stores, step);
+            let before: Vec<_> = stores.iter().map(revisions).collect();
+            apply_step(&history, &mut stores, step);
             for (i, store) in stores.iter().enumerate() {
                 let kept = !matches!(step, Step::Replace { router } if *router == i);
-                prop_assert!(!kept || at(store).0 >= before[i].0 && at(store).1 >= before[i].1);
-                check(&history, store)?;
+                prop_assert!(
+                    !kept || revisions(store).0 >= before[i].0 && revisions(store).1 >= before[i].1
+                );
+                check_in_force(&history, store)?;
             }
         }
-        // The partition ends: all hear from each other, twice round the ring.
-        let best = stores.iter().map(|s| at(s).0).max();
+        // The partition ends: each router pulls from its neighbour, twice round the ring.
+        let newest = stores.iter().map(|s| revisions(s).0).max();
         for i in 0..2 * ROUTERS {
             let from = std::mem::take(&mut stores[i % ROUTERS]);
             pull(&mut stores[(i + 1) % ROUTERS], &from);
             stores[i % ROUTERS] = from;
         }
         for store in &stores {
-            prop_assert_eq!(Some(at(store).0), best);
+            prop_assert_eq!(Some(revisions(store).0), newest);
             prop_assert_eq!(names(store), names(&stores[0]));
-            check(&history, store)?;
+            check_in_force(&history, store)?;
         }
         // Every router reads the newest revision: if it is valid, it is in force.
         let end = history.0.len() as u64;
         for store in &mut stores {
-            let _ = store.apply(&history.change(store.held().0, end, Tombstones::Named));
-            let expected = if history.valid(end) { Some(end) } else { best };
-            prop_assert_eq!(Some(at(store).0), expected);
+            let _ = store.apply(&history.change(store.held().0, end, Deletions::Included));
+            let expected = if history.is_valid(end) { Some(end) } else { newest };
+            prop_assert_eq!(Some(revisions(store).0), expected);
         }
     }
 }
--- a/crates/core/tests/settings_check.rs
+++ b/crates/core/tests/settings_check.rs
@@ -1,4 +1,4 @@
-//! Checks of a process's settings.
+//! Checks of the settings file of a process.
 
 #![expect(clippy::unwrap_used, reason = "a test that can't go on panics")]
 
@@ -22,6 +22,7 @@
     },
 };
 
+/// Pairs of example settings and the published configuration that contains its router.
 const EXAMPLES: [(&str, &str); 2] = [
     (
         include_str!("../../../examples/vitalbox.settings.json"),
@@ -33,8 +34,9 @@
     ),
 ];
 
-/// What is set in the example, to what (null: taken out), and the path of the only fault.
-const WRONG: &str = r#"[
+/// Cases: a field of the example settings, its invalid value (null removes the field), and the path
+/// of the only fault that follows.
+const INVALID_VALUES: &str = r#"[
 ["id", "Router 1", "id"],
 ["id", null, "id"],
 ["data_center", 4, "data_center"],
@@ -61,7 +63,8 @@
 ["peer_key_file", "/etc/key", ""]
 ]"#;
 
-fn with(changes: &[(&str, Value)]) -> Result<Settings, Vec<Fault>> {
+/// Reads the first example with the given fields replaced; null removes a field.
+fn example_with(changes: &[(&str, Value)]) -> Result<Settings, Vec<Fault>> {
     let mut out: Value = serde_json::from_str(EXAMPLES[0].0).unwrap();
     let fields = out.as_object_mut().unwrap();
     for (name, value) in changes {
@@ -74,7 +77,7 @@
 }
 
 #[gtest]
-fn verify_the_example_settings_are_valid_and_fit_the_published_fleet() {
+fn verify_the_example_settings_are_valid_and_match_the_published_fleet() {
     for (settings, config) in EXAMPLES {
         let settings = Settings::try_from(settings.as_bytes()).unwrap();
         let config = Config::try_from(config.as_bytes()).unwrap();
@@ -90,9 +93,9 @@
 }
 
 #[gtest]
-fn verify_defaults_fill_what_is_absent() {
+fn verify_absent_settings_have_their_defaults() {
     let absent = ["log", "limits", "statsd"].map(|name| (name, Value::Null));
-    let settings = with(&absent).unwrap();
+    let settings = example_with(&absent).unwrap();
     expect_that!(settings.limits, eq(Limits::default()));
     expect_that!(settings.log.format, eq(Format::Json));
     expect_that!(settings.log.level, eq(Level::Info));
@@ -102,29 +105,27 @@
 
 #[gtest]
 fn verify_each_fault_names_its_path() {
-    // Symptom: a process starts with a setting that its operator did not mean.
-    // Sequence: one setting of a valid file is made wrong.
-    // Cause: a check that is missing, or that names another field.
-    let cases: Vec<(String, Value, String)> = serde_json::from_str(WRONG).unwrap();
+    // Guards against a process that starts with an invalid setting, or a refusal that names another
+    // field, because a check is missing or wrong.
+    let cases: Vec<(String, Value, String)> = serde_json::from_str(INVALID_VALUES).unwrap();
     for (name, value, path) in cases {
-        let found = with(&[(&name, value.clone())]).unwrap_err();
+        let found = example_with(&[(&name, value.clone())]).unwrap_err();
         let paths: Vec<&str> = found.iter().map(|f| &f.path[..]).collect();
         expect_that!(paths, eq(&vec![&path[..]]), "{name} = {value}: {found:?}");
     }
 }
 
 #[gtest]
-fn verify_all_faults_are_told_at_once() {
-    // Symptom: an operator restarts a VM once for each mistake.
-    // Sequence: several settings are wrong at once.
-    // Cause: a check that stops at the first.
+fn verify_all_faults_are_reported_at_once() {
+    // Guards against a check that stops at the first fault, so that an operator restarts a VM once
+    // for each mistake.
     let changes = [
         ("id", json!("")),
         ("peer_key", json!("00")),
         ("log", json!({"format": 1, "level": 2})),
         ("limits", json!({"max_body_bytes": 0, "other": 0})),
     ];
-    let found = with(&changes).unwrap_err();
+    let found = example_with(&changes).unwrap_err();
     let paths: BTreeSet<&str> = found.iter().map(|f| &f.path[..]).collect();
     let expected = [
         "id",
@@ -139,17 +140,17 @@
 
 #[gtest]
 fn verify_secrets_stay_out_of_logs() {
-    // Symptom: the fleet's key stands in a log or on a terminal.
-    // Sequence: settings are logged at the start; a key is mistyped; both keys are the same.
-    // Cause: a derived `Debug`, or a fault that shows the value it refuses.
+    // Guards against a key of the fleet in a log or on a terminal, through a derived `Debug` when
+    // settings are logged at the start, or through a fault that shows the refused value when a key
+    // is mistyped or both keys are the same.
     let key = "ab".repeat(32);
-    let settings = with(&[("peer_key", json!(key))]).unwrap();
+    let settings = example_with(&[("peer_key", json!(key))]).unwrap();
     expect_that!(settings.peer_key.expose(), eq(&[0xab; 32]));
     expect_that!(format!("{settings:?}"), not(contains_substring("abab")));
     expect_that!(format!("{settings:?}"), not(contains_substring("171, 171")));
-    let mistyped = with(&[("token_key", json!(format!("{key}x")))]);
+    let mistyped = example_with(&[("token_key", json!(format!("{key}x")))]);
     expect_that!(format!("{mistyped:?}"), not(contains_substring("abab")));
-    let same = with(&[("peer_key", json!(key)), ("token_key", json!(key))]);
+    let same = example_with(&[("peer_key", json!(key)), ("token_key", json!(key))]);
     expect_that!(same.as_ref().unwrap_err()[0].path, eq("token_key"));
     expect_that!(format!("{same:?}"), not(contains_substring("abab")));
 }
