--- a/crates/core/tests/limits_fleet/mod.rs
+++ b/crates/core/tests/limits_fleet/mod.rs
@@ -1,9 +1,9 @@
-//! A fleet of `Limits` in one process, with message delay, loss, cuts and restarts. Time moves in
-//! steps of one millisecond; the same seed gives the same run.
+//! Simulates a fleet of `Limits` in one process, with message delay, message loss, partitions and
+//! restarts. Time advances in steps of one millisecond; the same seed gives the same run.
 
 #![expect(
     clippy::expect_used,
-    reason = "a harness of tests stops at what it can't do"
+    reason = "the test harness panics when its own setup fails"
 )]
 
 use std::{
@@ -48,7 +48,7 @@
     },
 };
 
-/// A published fleet of `routers` (without those in `gone`) and `workspaces` of one limit.
+/// Publishes the configuration of the simulated fleet: its routers and the workspaces' limits.
 pub(crate) struct Published {
     store: Store,
     pub(crate) routers: usize,
@@ -56,16 +56,16 @@
 
 impl Published {
     pub(crate) fn new(routers: usize, workspaces: usize, per_s: u32, burst: u32) -> Self {
-        Self::make(routers, &vec![(per_s, burst); workspaces])
+        Self::with_bursts(routers, &vec![(per_s, burst); workspaces])
     }
 
-    /// A workspace for each limit; the burst is a second's worth.
+    /// Creates a workspace for each limit; its burst is one second of its rate.
     pub(crate) fn with_limits(routers: usize, limits: &[u32]) -> Self {
         let limits: Vec<_> = limits.iter().map(|l| (*l, *l)).collect();
-        Self::make(routers, &limits)
+        Self::with_bursts(routers, &limits)
     }
 
-    fn make(routers: usize, limits: &[(u32, u32)]) -> Self {
+    fn with_bursts(routers: usize, limits: &[(u32, u32)]) -> Self {
         let mut published = Self {
             store: Store::default(),
             routers,
@@ -77,14 +77,14 @@
             (format!("workspaces/w{i}"), value)
         };
         let mut entries: Vec<_> = limits.iter().enumerate().map(workspace).collect();
-        entries.push(("fleet".to_owned(), fleet(routers, &[])));
+        entries.push(("fleet".to_owned(), fleet_json(routers, &[])));
         published.publish(entries);
         published
     }
 
-    /// Publishes the fleet without some routers.
-    pub(crate) fn without(&mut self, gone: &[usize]) -> Arc<Config> {
-        let entry = ("fleet".to_owned(), fleet(self.routers, gone));
+    /// Publishes the fleet without the routers in `removed`.
+    pub(crate) fn without(&mut self, removed: &[usize]) -> Arc<Config> {
+        let entry = ("fleet".to_owned(), fleet_json(self.routers, removed));
         self.publish(vec![entry])
     }
 
@@ -111,7 +111,7 @@
     }
 }
 
-fn fleet(routers: usize, gone: &[usize]) -> String {
+fn fleet_json(routers: usize, removed: &[usize]) -> String {
     let member = |i: &usize| {
         let (high, low) = (i / 250, i % 250 + 1);
         let address = format!(r#""address":"10.0.{high}.{low}:80""#);
@@ -119,7 +119,7 @@
         format!(r#""r{i}":{{{address},{peer},"data_center":"dc1"}}"#)
     };
     let members: Vec<String> = (0..routers)
-        .filter(|i| !gone.contains(i))
+        .filter(|i| !removed.contains(i))
         .map(|i| member(&i))
         .collect();
     format!("{{{}}}", members.join(","))
@@ -127,7 +127,7 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Message {
-    Ask {
+    GrantRequest {
         workspace: WorkspaceKey,
         want: u32,
         nonce: u64,
@@ -138,26 +138,26 @@
         retry_after: Millis,
         nonce: u64,
     },
-    /// Not sent: the receiver's driver says that the sender cannot be reached.
-    Failed,
+    /// Never crosses the network: the driver of the receiver reports that `from` is unreachable.
+    PeerUnreachable,
     Summary,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Letter {
+struct Envelope {
     from: usize,
     to: usize,
     message: Message,
 }
 
-/// What the network does.
+/// Properties of the simulated network.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Network {
-    /// Least and greatest delay one way.
+    /// Least and greatest one-way delay, in milliseconds.
     pub(crate) delay: (u64, u64),
-    /// Messages lost of a thousand.
+    /// Lost messages per thousand.
     pub(crate) loss: u32,
-    /// Peers that each router tells its summary every 200 ms.
+    /// Number of peers to which each router sends its summary every 200 ms.
     pub(crate) summaries: usize,
 }
 
@@ -165,16 +165,17 @@
     pub(crate) limits: Limits,
     pub(crate) config: Arc<Config>,
     pub(crate) up: bool,
-    /// The process stands still until then; what it gets meanwhile it reads when it wakes.
-    pub(crate) paused: Time,
-    /// Side of a partition; two routers talk when they are on one side.
+    /// The process does nothing until this time; it handles the messages of the pause afterwards.
+    pub(crate) paused_until: Time,
+    /// Side of a partition; only routers on the same side reach each other.
     pub(crate) side: u8,
+    /// Messages sent and received, summaries left out.
     pub(crate) sent: u64,
     pub(crate) received: u64,
 }
 
 impl Router {
-    fn me(&self, id: &Id) -> Option<RouterKey> {
+    fn own_key(&self, id: &Id) -> Option<RouterKey> {
         self.config.fleet.key(id)
     }
 }
@@ -192,16 +193,22 @@
     pub(crate) routers: Vec<Router>,
     pub(crate) network: Network,
     pub(crate) admitted: Vec<Admitted>,
+    /// Time and `retry_after` of each refusal.
     pub(crate) refused: Vec<(Time, Millis)>,
+    /// Time from arrival to decision of each decided call, in milliseconds.
     pub(crate) waits: Vec<u64>,
-    /// Two routers that cannot reach each other, though all others reach both.
-    pub(crate) severed: Option<(usize, usize)>,
+    /// Two routers that cannot reach each other; all others reach both.
+    pub(crate) broken_link: Option<(usize, usize)>,
     ids: Vec<Id>,
-    queue: BTreeMap<(Time, u64), Letter>,
-    asked: BTreeMap<u64, (Time, usize, WorkspaceKey)>,
+    /// Messages in transit, by time of arrival and number.
+    queue: BTreeMap<(Time, u64), Envelope>,
+    /// Time of arrival, router and workspace of each call that is not yet decided.
+    undecided_calls: BTreeMap<u64, (Time, usize, WorkspaceKey)>,
     rng: StdRng,
-    number: u64,
-    debt: Vec<f64>,
+    /// Last number given to a call or message.
+    last_number: u64,
+    /// Fraction of the next call that is due at each router.
+    due_calls: Vec<f64>,
 }
 
 impl Fleet {
@@ -214,17 +221,17 @@
                 limits,
                 config: Arc::clone(&config),
                 up: true,
-                paused: Time(0),
+                paused_until: Time(0),
                 side: 0,
                 sent: 0,
                 received: 0,
             }
         };
-        let id = |i| Id::try_from(format!("r{i}").as_str()).expect("a good name");
+        let id = |i| Id::try_from(format!("r{i}").as_str()).expect("a valid id");
         let mut rng = StdRng::seed_from_u64(seed);
-        // Callers don't act in step: each router's first call comes at its own time.
-        let debt = (0..published.routers).map(|_| rng.random_range(0.0..1.0));
-        let debt = debt.collect();
+        // Different start values keep the routers' first calls from arriving at the same time.
+        let due_calls = (0..published.routers).map(|_| rng.random_range(0.0..1.0));
+        let due_calls = due_calls.collect();
         Self {
             now: Time(0),
             routers: (0..published.routers).map(router).collect(),
@@ -232,36 +239,36 @@
             admitted: Vec::new(),
             refused: Vec::new(),
             waits: Vec::new(),
-            severed: None,
+            broken_link: None,
             ids: (0..published.routers).map(id).collect(),
             queue: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            undecided_calls: BTreeMap::new(),
             rng,
-            number: 0,
-            debt,
+            last_number: 0,
+            due_calls,
         }
     }
 
     pub(crate) fn workspace(&self, index: usize) -> WorkspaceKey {
-        let id = Id::try_from(format!("w{index}").as_str()).expect("a good name");
+        let id = Id::try_from(format!("w{index}").as_str()).expect("a valid id");
         let config = &self.routers[0].config;
         config.workspaces.key(&id).expect("a published workspace")
     }
 
-    /// Index of a workspace's home in the published order.
+    /// Gets the index of a workspace's home in the published order.
     pub(crate) fn home(&self, workspace: WorkspaceKey) -> usize {
-        self.home_in(&self.routers[0].config, workspace)
+        self.home_under(&self.routers[0].config, workspace)
     }
 
-    /// The same under a certain configuration.
-    pub(crate) fn home_in(&self, config: &Config, workspace: WorkspaceKey) -> usize {
+    /// Gets the index of a workspace's home under the given configuration.
+    pub(crate) fn home_under(&self, config: &Config, workspace: WorkspaceKey) -> usize {
         let tag = config.workspaces.get(workspace).expect("published").tag;
         let home = config.home(u64::from(tag.0)).expect("a fleet");
         let is_home = |i: &usize| config.fleet.key(&self.ids[*i]) == Some(home);
         (0..self.ids.len()).find(is_home).expect("in the fleet")
     }
 
-    /// Replaces a router by one that knows nothing.
+    /// Restarts a router with empty state.
     pub(crate) fn restart(&mut self, index: usize) {
         let router = &mut self.routers[index];
         router.limits = Limits::default();
@@ -269,9 +276,9 @@
         router.up = true;
     }
 
-    /// Cuts the fleet in two: the routers in `far` and the others. Each driver notices within
-    /// 1.5 s that the peers of the other side cannot be reached.
-    pub(crate) fn cut(&mut self, far: &[usize]) {
+    /// Partitions the fleet into the routers in `far` and the others. Each driver reports within
+    /// 0.5 s to 1.5 s that the peers of the other side are unreachable.
+    pub(crate) fn partition(&mut self, far: &[usize]) {
         for index in far {
             self.routers[*index].side = 1;
         }
@@ -283,21 +290,21 @@
             .flat_map(|a| others.iter().map(move |b| (*a, *b)))
         {
             for (from, to) in [(a, b), (b, a)] {
-                let message = Message::Failed;
+                let message = Message::PeerUnreachable;
                 let delay = self.rng.random_range(500..1500);
-                self.post(delay, Letter { from, to, message });
+                self.enqueue(delay, Envelope { from, to, message });
             }
         }
     }
 
-    /// Joins the two sides; peers hear from each other again within 300 ms.
-    pub(crate) fn heal(&mut self) {
-        let all = self.routers.len();
-        for (a, b) in (0..all).flat_map(|a| (0..all).map(move |b| (a, b))) {
+    /// Ends the partition; each peer receives a summary from the other side within 300 ms.
+    pub(crate) fn heal_partition(&mut self) {
+        let count = self.routers.len();
+        for (a, b) in (0..count).flat_map(|a| (0..count).map(move |b| (a, b))) {
             if self.routers[a].side != self.routers[b].side {
                 let (from, to, message) = (a, b, Message::Summary);
                 let delay = self.rng.random_range(1..300);
-                self.post(delay, Letter { from, to, message });
+                self.enqueue(delay, Envelope { from, to, message });
             }
         }
         for router in &mut self.routers {
@@ -305,37 +312,38 @@
         }
     }
 
-    /// Puts a configuration in force at one router.
+    /// Applies a configuration at one router.
     pub(crate) fn apply(&mut self, index: usize, config: &Arc<Config>) {
         let router = &mut self.routers[index];
         router.config = Arc::clone(config);
         router.limits.apply(self.now, config);
     }
 
-    /// Runs for a time; `rates` gives each router's requests a second for each workspace.
+    /// Runs for `span`; `rates` holds the workspace's calls per second at each router.
     pub(crate) fn run(&mut self, span: Millis, workspace: WorkspaceKey, rates: &[f64]) {
         let end = self.now + span;
         while self.now < end {
             self.step();
             for (index, rate) in rates.iter().enumerate() {
-                self.debt[index] += rate / 1000.0;
-                while self.debt[index] >= 1.0 {
-                    self.debt[index] -= 1.0;
+                self.due_calls[index] += rate / 1000.0;
+                while self.due_calls[index] >= 1.0 {
+                    self.due_calls[index] -= 1.0;
                     self.call(index, workspace);
                 }
             }
         }
     }
 
-    /// One call at a router.
+    /// Sends one call to a router; one that is down or paused gets none.
     pub(crate) fn call(&mut self, index: usize, workspace: WorkspaceKey) {
-        if !self.routers[index].up || self.now < self.routers[index].paused {
+        if !self.routers[index].up || self.now < self.routers[index].paused_until {
             return;
         }
-        self.number += 1;
-        let call = Call(self.number);
-        self.asked.insert(call.0, (self.now, index, workspace));
-        let me = self.routers[index].me(&self.ids[index]);
+        self.last_number += 1;
+        let call = Call(self.last_number);
+        self.undecided_calls
+            .insert(call.0, (self.now, index, workspace));
+        let me = self.routers[index].own_key(&self.ids[index]);
         let ask = Ask {
             me,
             call,
@@ -346,28 +354,28 @@
         let router = &mut self.routers[index];
         let config = Arc::clone(&router.config);
         let verdict = router.limits.admit(self.now, &config, ask, &mut out);
-        self.decided(call, verdict);
-        self.carry_out(index, out);
+        self.record_verdict(call, verdict);
+        self.process_outputs(index, out);
     }
 
-    /// Lets one millisecond pass.
+    /// Advances time by one millisecond.
     pub(crate) fn step(&mut self) {
         self.now = self.now + Millis(1);
         while let Some(entry) = self.queue.first_entry() {
             if entry.key().0 > self.now {
                 break;
             }
-            let letter = entry.remove();
-            let paused = self.routers[letter.to].paused;
-            if self.now < paused {
-                self.post(paused.since(self.now).0, letter);
+            let envelope = entry.remove();
+            let wakes_at = self.routers[envelope.to].paused_until;
+            if self.now < wakes_at {
+                self.enqueue(wakes_at.since(self.now).0, envelope);
             } else {
-                self.deliver(letter);
+                self.deliver(envelope);
             }
         }
         for index in 0..self.routers.len() {
             let phase = index as u64 * 7;
-            if !self.routers[index].up || self.now < self.routers[index].paused {
+            if !self.routers[index].up || self.now < self.routers[index].paused_until {
                 continue;
             }
             if (self.now.0 + phase).is_multiple_of(TICK.0) {
@@ -382,63 +390,63 @@
     fn tick(&mut self, index: usize) {
         let router = &mut self.routers[index];
         let config = Arc::clone(&router.config);
-        let me = router.me(&self.ids[index]);
+        let me = router.own_key(&self.ids[index]);
         let mut out = Vec::new();
         router.limits.tick(self.now, &config, me, &mut out);
-        self.carry_out(index, out);
+        self.process_outputs(index, out);
     }
 
     fn summarize(&mut self, index: usize) {
-        let all = self.routers.len();
-        for n in 1..=self.network.summaries.min(all - 1) {
-            let step = if all <= 16 {
+        let count = self.routers.len();
+        for n in 1..=self.network.summaries.min(count - 1) {
+            let step = if count <= 16 {
                 n
             } else {
-                self.rng.random_range(1..all)
+                self.rng.random_range(1..count)
             };
-            self.send(index, (index + step) % all, Message::Summary);
+            self.send(index, (index + step) % count, Message::Summary);
         }
     }
 
-    fn deliver(&mut self, letter: Letter) {
-        let Letter { from, to, message } = letter;
+    fn deliver(&mut self, envelope: Envelope) {
+        let Envelope { from, to, message } = envelope;
         let sender = self.ids[from].clone();
         let router = &mut self.routers[to];
         if !router.up {
             return;
         }
         let config = Arc::clone(&router.config);
-        let me = router.me(&self.ids[to]);
+        let me = router.own_key(&self.ids[to]);
         let Some(from_key) = config.fleet.key(&sender) else {
             return;
         };
         let mut out = Vec::new();
-        if !matches!(message, Message::Failed | Message::Summary) {
+        if !matches!(message, Message::PeerUnreachable | Message::Summary) {
             router.received += 1;
         }
-        if !matches!(message, Message::Failed) {
+        if !matches!(message, Message::PeerUnreachable) {
             router.limits.heard(from_key);
         }
         match message {
             Message::Summary => {}
-            Message::Failed => {
+            Message::PeerUnreachable => {
                 router
                     .limits
                     .failed(self.now, &config, me, from_key, &mut out);
             }
-            Message::Ask {
+            Message::GrantRequest {
                 workspace,
                 want,
                 nonce,
             } => {
-                let question = GrantRequest {
+                let request = GrantRequest {
                     me,
                     from: from_key,
                     workspace,
                     want,
                 };
                 let (granted, retry_after) =
-                    router.limits.ask(self.now, &config, question, &mut out);
+                    router.limits.ask(self.now, &config, request, &mut out);
                 let grant = Message::Grant {
                     workspace,
                     granted,
@@ -457,13 +465,13 @@
                 limits.granted(self.now, workspace, granted, retry_after, nonce, &mut out);
             }
         }
-        self.carry_out(to, out);
+        self.process_outputs(to, out);
     }
 
-    fn carry_out(&mut self, index: usize, out: Vec<LimitsOutput>) {
-        for one in out {
-            match one {
-                LimitsOutput::Decided { call, verdict } => self.decided(call, verdict),
+    fn process_outputs(&mut self, index: usize, out: Vec<LimitsOutput>) {
+        for output in out {
+            match output {
+                LimitsOutput::Decided { call, verdict } => self.record_verdict(call, verdict),
                 LimitsOutput::Ask {
                     home,
                     workspace,
@@ -473,12 +481,12 @@
                     let config = &self.routers[index].config;
                     let is_home = |i: &usize| config.fleet.key(&self.ids[*i]) == Some(home);
                     let to = (0..self.ids.len()).find(is_home).expect("in the fleet");
-                    let ask = Message::Ask {
+                    let request = Message::GrantRequest {
                         workspace,
                         want,
                         nonce,
                     };
-                    self.send(index, to, ask);
+                    self.send(index, to, request);
                 }
             }
         }
@@ -489,33 +497,34 @@
         if counted {
             self.routers[from].sent += 1;
         }
-        let (least, most) = self.network.delay;
-        let delay = self.rng.random_range(least..=most);
-        // A process that is gone is noticed by the connection; a cut is not.
+        let (min_delay, max_delay) = self.network.delay;
+        let delay = self.rng.random_range(min_delay..=max_delay);
+        // The broken connection reveals a process that ended; a partition stays unnoticed.
         if !self.routers[to].up {
-            let letter = Letter {
+            let envelope = Envelope {
                 from: to,
                 to: from,
-                message: Message::Failed,
+                message: Message::PeerUnreachable,
             };
-            return self.post(delay, letter);
+            return self.enqueue(delay, envelope);
         }
-        let severed = self.severed == Some((from, to)) || self.severed == Some((to, from));
-        let cut = severed || self.routers[from].side != self.routers[to].side;
-        if cut || self.rng.random_range(0..1000) < self.network.loss {
+        let link_is_broken =
+            self.broken_link == Some((from, to)) || self.broken_link == Some((to, from));
+        let unreachable = link_is_broken || self.routers[from].side != self.routers[to].side;
+        if unreachable || self.rng.random_range(0..1000) < self.network.loss {
             return;
         }
-        self.post(delay, Letter { from, to, message });
+        self.enqueue(delay, Envelope { from, to, message });
     }
 
-    fn post(&mut self, delay: u64, letter: Letter) {
-        self.number += 1;
+    fn enqueue(&mut self, delay: u64, envelope: Envelope) {
+        self.last_number += 1;
         let at = self.now + Millis(delay);
-        self.queue.insert((at, self.number), letter);
+        self.queue.insert((at, self.last_number), envelope);
     }
 
-    fn decided(&mut self, call: Call, verdict: Verdict) {
-        let Some(&(since, router, workspace)) = self.asked.get(&call.0) else {
+    fn record_verdict(&mut self, call: Call, verdict: Verdict) {
+        let Some(&(since, router, workspace)) = self.undecided_calls.get(&call.0) else {
             panic!("{call:?} was decided twice");
         };
         match verdict {
@@ -533,43 +542,43 @@
                 self.refused.push((self.now, retry_after));
             }
         }
-        self.asked.remove(&call.0);
+        self.undecided_calls.remove(&call.0);
     }
 
-    /// Calls not yet decided.
+    /// Gets the number of calls that are not yet decided.
     pub(crate) fn undecided(&self) -> usize {
-        self.asked.len()
+        self.undecided_calls.len()
     }
 
-    /// Most calls admitted in any window of this length from `from` on.
-    pub(crate) fn most(&self, from: Time, window: Millis) -> usize {
-        let times: Vec<Time> = self.times(from);
+    /// Gets the most calls admitted in any window of this length from `from` on.
+    pub(crate) fn max_admitted(&self, from: Time, window: Millis) -> usize {
+        let times: Vec<Time> = self.admission_times(from);
         let mut first = 0;
-        let mut most = 0;
+        let mut max = 0;
         for (last, at) in times.iter().enumerate() {
             while times[first] + window <= *at {
                 first += 1;
             }
-            most = most.max(last + 1 - first);
+            max = max.max(last + 1 - first);
         }
-        most
+        max
     }
 
-    /// Fewest calls admitted in any window of this length that lies between `from` and now.
-    pub(crate) fn fewest(&self, from: Time, window: Millis) -> usize {
-        let times = self.times(from);
-        let mut fewest = usize::MAX;
+    /// Gets the fewest calls admitted in any window of this length between `from` and now.
+    pub(crate) fn min_admitted(&self, from: Time, window: Millis) -> usize {
+        let times = self.admission_times(from);
+        let mut min = usize::MAX;
         let mut start = from;
         while start + window <= self.now {
             let low = times.partition_point(|t| *t < start);
             let high = times.partition_point(|t| *t < start + window);
-            fewest = fewest.min(high - low);
+            min = min.min(high - low);
             start = start + Millis(50);
         }
-        fewest
+        min
     }
 
-    fn times(&self, from: Time) -> Vec<Time> {
+    fn admission_times(&self, from: Time) -> Vec<Time> {
         let after = self.admitted.iter().filter(|a| a.at >= from);
         after.map(|a| a.at).collect()
     }
