--- a/crates/core/tests/overload_pool/mod.rs
+++ b/crates/core/tests/overload_pool/mod.rs
@@ -1,9 +1,10 @@
-//! A small queue model: routers with gates before engines with a capacity each. An engine runs
-//! what fits, and queues the rest by priority. Time moves in steps of ten milliseconds.
+//! Simulates routers with admission control in front of engines of a fixed capacity. An engine runs
+//! as many requests as its capacity allows and queues the rest by priority. Time advances in steps
+//! of ten milliseconds.
 
 #![expect(
     clippy::expect_used,
-    reason = "a harness of tests stops at what it can't do"
+    reason = "the test harness panics when its own setup fails"
 )]
 
 use std::sync::Arc;
@@ -49,24 +50,24 @@
     },
 };
 
-/// Step of the model.
-pub(crate) const STEP: u64 = 10;
-/// Time between two summaries of a router.
-const SUMMARY: u64 = 200;
+/// Step by which simulated time advances.
+pub(crate) const STEP_MS: u64 = 10;
+/// Interval at which routers send their load summaries to each other.
+const SUMMARY_INTERVAL_MS: u64 = 200;
 
-/// One workspace of the model.
+/// Published settings of a workspace.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Workspace {
     pub(crate) priority: u8,
     pub(crate) deadline: Millis,
 }
 
-/// What stands in the way of a request.
+/// Selects whether routers check a request before they place it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Guard {
-    /// Nothing.
+pub(crate) enum AdmissionMode {
+    /// Every request is admitted.
     None,
-    /// The gate.
+    /// The router's admission controller decides.
     AdmissionController,
 }
 
@@ -75,7 +76,7 @@
     router: usize,
     workspace: usize,
     priority: u8,
-    came: Time,
+    arrived: Time,
     started: Time,
     ends: Time,
     service: Millis,
@@ -88,20 +89,21 @@
 }
 
 struct Router {
-    gate: AdmissionController,
+    controller: AdmissionController,
     loads: LoadTable,
-    open: Vec<WorkspaceKey>,
+    /// Workspace of each request in progress.
+    in_progress: Vec<WorkspaceKey>,
 }
 
-/// The answer to one request of the model.
+/// The answer to one request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Answer {
     pub(crate) workspace: usize,
-    pub(crate) came: Time,
-    /// Time until its first token: the wait at the engine.
+    pub(crate) arrived: Time,
+    /// Time from arrival to the first token: the wait in the engine's queue.
     pub(crate) wait: Millis,
-    /// Time until the whole answer.
-    pub(crate) took: Millis,
+    /// Time from arrival to the whole answer.
+    pub(crate) latency: Millis,
 }
 
 pub(crate) struct Pool {
@@ -113,10 +115,10 @@
     view: View,
     workspaces: Vec<(WorkspaceKey, Workspace)>,
     endpoints: Vec<EndpointKey>,
-    members: Vec<RouterKey>,
+    router_keys: Vec<RouterKey>,
     engines: Vec<Engine>,
     routers: Vec<Router>,
-    pub(crate) guard: Guard,
+    pub(crate) admission: AdmissionMode,
     capacity: usize,
 }
 
@@ -126,22 +128,22 @@
         engines: usize,
         capacity: usize,
         workspaces: &[Workspace],
-        guard: Guard,
+        admission: AdmissionMode,
     ) -> Self {
-        let config = publish(routers, engines, capacity, workspaces);
+        let config = publish_config(routers, engines, capacity, workspaces);
         let mut view = View::default();
         view.apply(Time(0), &config);
-        let id = |text: String| Id::try_from(text.as_str()).expect("a good name");
+        let id = |text: String| Id::try_from(text.as_str()).expect("a valid id");
         let member = |i| config.fleet.key(&id(format!("r{i}"))).expect("published");
         let router = |i| {
-            let mut gate = AdmissionController::default();
-            gate.apply(&config, Some(member(i)));
+            let mut controller = AdmissionController::default();
+            controller.apply(&config, Some(member(i)));
             let mut loads = LoadTable::default();
             loads.apply(&config, Some(member(i)));
             Router {
-                gate,
+                controller,
                 loads,
-                open: Vec::new(),
+                in_progress: Vec::new(),
             }
         };
         let workspace = |(i, w): (usize, &Workspace)| {
@@ -163,34 +165,35 @@
             view,
             workspaces: workspaces.iter().enumerate().map(workspace).collect(),
             endpoints: (0..engines).map(endpoint).collect(),
-            members: (0..routers).map(member).collect(),
+            router_keys: (0..routers).map(member).collect(),
             engines: (0..engines).map(|_| Engine::default()).collect(),
             routers: (0..routers).map(router).collect(),
-            guard,
+            admission,
             capacity,
             config,
         }
     }
 
-    /// Lets one step pass: answers end, waiting ones start, summaries go out.
+    /// Advances time by one step: ends and starts requests at the engines and sends summaries that
+    /// are due.
     pub(crate) fn step(&mut self) {
-        self.now = self.now + Millis(STEP);
+        self.now = self.now + Millis(STEP_MS);
         for index in 0..self.engines.len() {
-            self.end(index);
-            self.start(index);
+            self.end_requests(index);
+            self.start_requests(index);
         }
-        if self.now.0.is_multiple_of(SUMMARY) {
+        if self.now.0.is_multiple_of(SUMMARY_INTERVAL_MS) {
             self.summarize();
         }
     }
 
-    /// One request at a router; gives whether it was taken.
+    /// Sends one request to a router and returns whether it was admitted.
     pub(crate) fn request(&mut self, router: usize, workspace: usize, service: Millis) -> bool {
-        let left = self.workspaces[workspace].1.deadline;
-        self.request_until(router, workspace, service, self.now + left)
+        let time_limit = self.workspaces[workspace].1.deadline;
+        self.request_until(router, workspace, service, self.now + time_limit)
     }
 
-    /// The same with a deadline.
+    /// Sends one request with its own deadline and returns whether it was admitted.
     pub(crate) fn request_until(
         &mut self,
         router: usize,
@@ -203,35 +206,35 @@
             self.shed.push((workspace, self.now, verdict));
             return false;
         }
-        let at = self.least(router);
+        let at = self.least_loaded(router);
         let entry = &mut self.routers[router];
         entry.loads.sent(self.now, self.endpoints[at]);
-        entry.open.push(self.workspaces[workspace].0);
+        entry.in_progress.push(self.workspaces[workspace].0);
         self.engines[at].queue.push(Job {
             router,
             workspace,
             priority: self.workspaces[workspace].1.priority,
-            came: self.now,
+            arrived: self.now,
             started: self.now,
             ends: self.now,
             service,
         });
-        self.start(at);
+        self.start_requests(at);
         true
     }
 
-    /// Gets all requests at engines, waiting ones included.
+    /// Gets the number of requests at all engines, queued ones included.
     pub(crate) fn in_flight(&self) -> usize {
-        let of = |e: &Engine| e.running.len() + e.queue.len();
-        self.engines.iter().map(of).sum()
+        let at_engine = |e: &Engine| e.running.len() + e.queue.len();
+        self.engines.iter().map(at_engine).sum()
     }
 
-    /// Gets the 99th percentile of a workspace's times, whole answers, of requests after `from`.
+    /// Gets the 99th percentile of a workspace's latency, for requests that arrived from `from` on.
     pub(crate) fn p99(&self, workspace: usize, from: Time) -> Millis {
-        self.percentile(workspace, from, 99, |a| a.took)
+        self.percentile(workspace, from, 99, |a| a.latency)
     }
 
-    /// Gets a percentile of some time of a workspace.
+    /// Gets a percentile of the duration that `of` selects from a workspace's answers.
     pub(crate) fn percentile(
         &self,
         workspace: usize,
@@ -239,40 +242,42 @@
         percent: usize,
         of: impl Fn(&Answer) -> Millis,
     ) -> Millis {
-        let own = self
+        let selected = self
             .answers
             .iter()
-            .filter(|a| a.workspace == workspace && a.came >= from);
-        let mut times: Vec<Millis> = own.map(of).collect();
+            .filter(|a| a.workspace == workspace && a.arrived >= from);
+        let mut times: Vec<Millis> = selected.map(of).collect();
         times.sort();
         let at = times.len().saturating_sub(1) * percent / 100;
         times.get(at).copied().unwrap_or_default()
     }
 
     fn admit(&mut self, router: usize, workspace: usize, deadline: Time) -> Verdict {
-        if self.guard == Guard::None {
+        if self.admission == AdmissionMode::None {
             return Verdict::Admit;
         }
-        let (key, published) = self.workspaces[workspace];
+        let (key, settings) = self.workspaces[workspace];
         let request = Request {
             origin: Origin::Caller,
             workspace: key,
-            priority: toucanturn_core::config::Priority(published.priority),
-            work: self.work(),
+            priority: toucanturn_core::config::Priority(settings.priority),
+            work: self.chat_work(),
             deadline,
         };
         let entry = &mut self.routers[router];
-        let scene = PlacementContext {
+        let context = PlacementContext {
             config: &self.config,
             view: &self.view,
             loads: &entry.loads,
             now: self.now,
         };
-        let open = entry.open.iter().copied();
-        entry.gate.admit(scene, &request, open, &mut self.rng)
+        let in_progress = entry.in_progress.iter().copied();
+        entry
+            .controller
+            .admit(context, &request, in_progress, &mut self.rng)
     }
 
-    fn work(&self) -> Work {
+    fn chat_work(&self) -> Work {
         let model = self.config.models.iter().next().expect("a model").0;
         Work::Chat {
             model,
@@ -281,7 +286,7 @@
         }
     }
 
-    fn least(&mut self, router: usize) -> usize {
+    fn least_loaded(&mut self, router: usize) -> usize {
         let count = self.engines.len();
         let first = self.rng.random_range(0..count);
         let loads = &self.routers[router].loads;
@@ -290,36 +295,38 @@
         order.min_by_key(load).expect("an engine")
     }
 
-    fn end(&mut self, index: usize) {
+    fn end_requests(&mut self, index: usize) {
         let now = self.now;
         let (done, running): (Vec<Job>, Vec<Job>) = self.engines[index]
             .running
             .iter()
             .partition(|job| job.ends <= now);
         self.engines[index].running = running;
-        let work = self.work();
+        let work = self.chat_work();
         for job in done {
-            let took = now.since(job.came);
+            let latency = now.since(job.arrived);
             let entry = &mut self.routers[job.router];
             entry.loads.ended(now, self.endpoints[index]);
-            entry.gate.ended(&work, took);
+            entry.controller.ended(&work, latency);
             let key = self.workspaces[job.workspace].0;
-            let at = entry.open.iter().position(|w| *w == key);
-            entry.open.swap_remove(at.expect("an open call"));
+            let at = entry.in_progress.iter().position(|w| *w == key);
+            entry
+                .in_progress
+                .swap_remove(at.expect("a request in progress"));
             self.answers.push(Answer {
                 workspace: job.workspace,
-                came: job.came,
-                wait: job.started.since(job.came),
-                took,
+                arrived: job.arrived,
+                wait: job.started.since(job.arrived),
+                latency,
             });
         }
     }
 
-    fn start(&mut self, index: usize) {
+    fn start_requests(&mut self, index: usize) {
         let engine = &mut self.engines[index];
         engine
             .queue
-            .sort_by_key(|j| (std::cmp::Reverse(j.priority), j.came));
+            .sort_by_key(|j| (std::cmp::Reverse(j.priority), j.arrived));
         while engine.running.len() < self.capacity && !engine.queue.is_empty() {
             let mut job = engine.queue.remove(0);
             job.started = self.now;
@@ -333,13 +340,13 @@
             let own: Vec<_> = self.routers[from].loads.own().collect();
             for to in (0..self.routers.len()).filter(|to| *to != from) {
                 let loads = &mut self.routers[to].loads;
-                loads.peer(self.now, self.members[from], &own);
+                loads.peer(self.now, self.router_keys[from], &own);
             }
         }
     }
 }
 
-fn publish(
+fn publish_config(
     routers: usize,
     engines: usize,
     capacity: usize,
@@ -348,7 +355,7 @@
     let mut store = Store::default();
     let mut entries = vec![
         ("models/m".to_owned(), r#"{"version":"v1"}"#.to_owned()),
-        ("fleet".to_owned(), fleet(routers)),
+        ("fleet".to_owned(), fleet_json(routers)),
     ];
     for i in 0..engines {
         let (high, low) = (i / 250, i % 250 + 1);
@@ -381,7 +388,7 @@
     Arc::clone(store.current())
 }
 
-fn fleet(routers: usize) -> String {
+fn fleet_json(routers: usize) -> String {
     let member = |i| {
         let address = format!(r#""address":"10.0.0.{}:80""#, i + 1);
         let peer = format!(r#""peer_address":"10.0.0.{}:81""#, i + 1);
