--- a/crates/core/tests/place/choose.rs
+++ b/crates/core/tests/place/choose.rs
@@ -1,4 +1,4 @@
-//! Where requests go.
+//! Tests of which endpoint a request is placed on.
 
 use googletest::prelude::*;
 use toucanturn_core::{
@@ -16,7 +16,7 @@
 };
 
 use crate::fixture::{
-    LIFE,
+    INCARNATION,
     ROUTERS,
     Router,
     id,
@@ -37,9 +37,9 @@
 }
 
 #[gtest]
-fn verify_chat_of_a_loaded_engine_takes_its_cache_along() {
+fn verify_chat_of_a_loaded_engine_imports_its_cache_elsewhere() {
     let mut router = router(4, 0, 64);
-    router.fill("near-0", 8);
+    router.add_announced_load("near-0", 8);
     let work = router.chat(7, Some(router.token("near-0", None)));
     let placed = router.choose(&work).unwrap();
     expect_that!(placed.endpoint, not(eq(router.key("near-0"))));
@@ -47,9 +47,9 @@
 }
 
 #[gtest]
-fn verify_older_engine_comes_before_others() {
+fn verify_previous_engine_of_a_chat_comes_before_others() {
     let mut router = router(12, 0, 64);
-    router.fill("near-0", 8);
+    router.add_announced_load("near-0", 8);
     let work = router.chat(7, Some(router.token("near-0", Some("near-3"))));
     let placed = router.choose(&work).unwrap();
     expect_that!(router.name(placed.endpoint), eq("near-3"));
@@ -58,13 +58,12 @@
 }
 
 #[gtest]
-fn verify_engine_that_began_a_new_life_holds_nothing() {
-    // Symptom: a returning chat waits for a long prefill on a loaded engine. Sequence: the engine
-    // that its token names is replaced at the same address and comes back empty. Cause: the name
-    // alone was believed.
+fn verify_restarted_engine_holds_no_prefix() {
+    // The engine that a chat's token names was replaced at the same address and lost its cache. A
+    // match on the name alone would wait for a long prefill on a loaded engine.
     let mut router = router(12, 0, 64);
     let key = router.key("near-0");
-    router.confirm(key, Incarnation(LIFE.0 + 1));
+    router.confirm(key, Incarnation(INCARNATION.0 + 1));
     let work = router.chat(7, Some(router.token("near-0", None)));
     let placed = router.choose(&work).unwrap();
     expect_that!(placed.reason, eq(Reason::Home));
@@ -72,14 +71,13 @@
 }
 
 #[gtest]
-fn verify_leaving_engine_lends_its_cache_and_gets_no_chat() {
-    // Symptom: chats lose their prefix, or are refused. Sequence: an engine says that it is
-    // leaving, and a chat comes back with its name before the next tick. Cause: the pool's states
-    // are those of the last tick.
+fn verify_leaving_engine_exports_its_cache_and_gets_no_chat() {
+    // An engine announces that it leaves, and a chat with its name in the token returns before the
+    // next tick. A choice by the states of the last tick loses the prefix or refuses the chat.
     let mut router = router(12, 0, 64);
     let key = router.key("near-0");
     let now = router.now;
-    router.view.leaving(now, key, LIFE);
+    router.view.leaving(now, key, INCARNATION);
     let work = router.chat(7, Some(router.token("near-0", None)));
     let placed = router.choose(&work).unwrap();
     expect_that!(placed.endpoint, not(eq(key)));
@@ -101,10 +99,10 @@
 }
 
 #[gtest]
-fn verify_full_engines_get_no_more() {
+fn verify_full_engines_get_no_more_requests() {
     let mut router = router(2, 1, 3);
     for name in ["near-0", "near-1", "far-0"] {
-        router.fill(name, 3);
+        router.add_announced_load(name, 3);
     }
     let work = router.chat(7, Some(router.token("near-0", None)));
     expect_that!(router.choose(&work), none());
@@ -126,51 +124,50 @@
 }
 
 #[gtest]
-fn verify_few_homes_change_with_an_engine() {
+fn verify_only_chats_of_a_leaving_engine_change_home() {
     let mut router = router(12, 0, 64);
     let home = |router: &mut Router, prefix| {
         let work = router.chat(prefix, None);
         router.choose(&work).unwrap().endpoint
     };
     let before: Vec<_> = (0..600).map(|p| home(&mut router, p)).collect();
-    let gone = router.key("near-4");
+    let leaving_engine = router.key("near-4");
     let now = router.now;
-    router.view.leaving(now, gone, LIFE);
+    router.view.leaving(now, leaving_engine, INCARNATION);
     router.loads.refresh(now, &router.view);
     let after: Vec<_> = (0..600).map(|p| home(&mut router, p)).collect();
     let moved = |(b, a): &(&_, &_)| b != a;
     let both = || before.iter().zip(&after);
-    expect_true!(both().filter(moved).all(|(b, _)| *b == gone));
-    let share = both().filter(moved).count();
-    expect_that!(share, all![ge(25), le(85)]);
+    expect_true!(both().filter(moved).all(|(b, _)| *b == leaving_engine));
+    let moved_count = both().filter(moved).count();
+    expect_that!(moved_count, all![ge(25), le(85)]);
 }
 
 #[gtest]
-fn verify_no_engine_gets_more_than_the_multiple() {
-    // All chats carry the same token: the hardest case for the limit.
+fn verify_no_engine_exceeds_the_allowed_multiple_of_the_mean_load() {
+    // All chats carry the same token and so prefer the same engine: the worst case for the limit.
     let mut router = router(12, 0, 1000);
-    router.hear_all();
+    router.receive_idle_summaries();
     let work = router.chat(7, Some(router.token("near-0", None)));
     for sent in 1..=600_u32 {
         router.send(&work).unwrap();
         router.loads.mark_announced();
         let now = router.now;
         let keys = (0..12).map(|i| router.key(&format!("near-{i}")));
-        let most = keys.map(|key| router.loads.estimate(now, key)).max();
+        let max_load = keys.map(|key| router.loads.estimate(now, key)).max();
         let limit = (sent * 125).div_ceil(1200);
-        expect_that!(most.unwrap(), le(limit));
+        expect_that!(max_load.unwrap(), le(limit));
     }
 }
 
 #[gtest]
-fn verify_routers_that_see_the_same_room_dont_all_fill_it() {
-    // Symptom: one engine carries several times the mean after a surge. Sequence: seven routers
-    // get many chats of one engine between two summaries. Cause: each saw all of the room below
-    // the limit, and none what the others sent.
+fn verify_routers_do_not_all_use_the_same_spare_capacity() {
+    // Seven routers get many chats of one engine between two summaries. If each used all of the
+    // capacity left below the limit, the engine would get several times the mean load.
     let send = |index| {
         let mut router = router_at(index, 12, 0, 1000);
         for engine in 0..12 {
-            router.fill(&format!("near-{engine}"), 10);
+            router.add_announced_load(&format!("near-{engine}"), 10);
         }
         let work = router.chat(7, Some(router.token("near-0", None)));
         let names = (0..20).filter_map(|_| router.send(&work));
@@ -181,80 +178,80 @@
 }
 
 #[gtest]
-fn verify_sides_of_a_partition_stay_even() {
-    // Symptom: an engine carries twice the mean during a partition. Sequence: the peers' summaries
-    // stop, and reports lag by a second. Cause: the load that both sides saw low was filled by
-    // both. Here a router that hears nobody has reports of load for all engines but one.
+fn verify_load_stays_even_within_one_side_of_a_partition() {
+    // In a partition the peers' summaries stop and reports lag by 1 s. If both sides filled the
+    // engine that looks idle, it would carry twice the mean. Here the router hears no peer and has
+    // load reports of all engines but one.
     let mut router = router(4, 0, 1000);
     for engine in 1..4 {
         let key = router.key(&format!("near-{engine}"));
         router.loads.record_answer_load(router.now, key, 2);
     }
     let work = router.chat(7, Some(router.token("near-0", None)));
-    let mut count = [0_u32; 4];
+    let mut counts = [0_u32; 4];
     for sent in 1..=80_u32 {
         let name = router.send(&work).unwrap();
         router.loads.mark_announced();
         let engine: usize = name.trim_start_matches("near-").parse().unwrap();
-        count[engine] += 1;
+        counts[engine] += 1;
         let limit = (sent * 125).div_ceil(400);
-        expect_that!(*count.iter().max().unwrap(), le(limit));
+        expect_that!(*counts.iter().max().unwrap(), le(limit));
     }
 }
 
 #[gtest]
-fn verify_plain_calls_stay_even() {
+fn verify_plain_calls_are_spread_evenly() {
     let mut router = router(1, 0, 1000);
     let service = router.config.services.key(&id("orders")).unwrap();
     let work = Work::Plain {
         service,
         idempotent: true,
     };
-    let mut count = indexmap::IndexMap::<String, u32>::new();
+    let mut counts = indexmap::IndexMap::<String, u32>::new();
     for _ in 0..400 {
-        *count.entry(router.send(&work).unwrap()).or_default() += 1;
+        *counts.entry(router.send(&work).unwrap()).or_default() += 1;
         router.loads.mark_announced();
     }
-    expect_that!(count.len(), eq(4));
-    expect_true!(count.values().all(|n| (95..=105).contains(n)));
+    expect_that!(counts.len(), eq(4));
+    expect_true!(counts.values().all(|n| (95..=105).contains(n)));
 }
 
 #[gtest]
-fn verify_chats_of_a_leaving_engine_move_to_where_they_are_looked_for() {
-    // Symptom: the chats of a replaced engine all start anew. Sequence: the engine leaves, the
-    // chats come back after it is gone. Cause: nothing moved their prefixes while it was there.
+fn verify_chats_of_a_leaving_engine_move_to_where_they_are_placed() {
+    // Chats return after their engine has left. Unless their prefixes were moved before, and to the
+    // engines where the chats are then placed, all of them start without a cache.
     let mut router = router(12, 0, 64);
-    let (gone, now) = (router.key("near-4"), router.now);
+    let (leaving_engine, now) = (router.key("near-4"), router.now);
     let Work::Chat { model, .. } = router.chat(0, None) else {
         return;
     };
     let mut recent = RecentChats::default();
     for prefix in 0..40 {
-        recent.note(Prefix(prefix), model, (gone, LIFE));
+        recent.note(Prefix(prefix), model, (leaving_engine, INCARNATION));
     }
-    router.view.leaving(now, gone, LIFE);
+    router.view.leaving(now, leaving_engine, INCARNATION);
     router.loads.refresh(now, &router.view);
     let mut moved = Vec::new();
     for _ in 0..40 {
-        moved.extend(recent.moves(router.scene()));
+        moved.extend(recent.moves(router.placement_context()));
     }
     expect_that!(moved.len(), eq(40));
-    // Some engines are below the mean: that is where new chats go, but not these.
+    // Three engines have less load than the mean. New chats go there, but these chats must not.
     for engine in (0..12).filter(|e| *e != 4) {
         let load = if engine < 3 { 6 } else { 8 };
-        router.fill(&format!("near-{engine}"), load);
+        router.add_announced_load(&format!("near-{engine}"), load);
     }
-    for one in moved {
-        let work = router.chat(one.prefix.0, Some(router.token("near-4", None)));
+    for transfer in moved {
+        let work = router.chat(transfer.prefix.0, Some(router.token("near-4", None)));
         let placed = router.choose(&work).unwrap();
-        expect_that!(placed.endpoint, eq(one.to));
+        expect_that!(placed.endpoint, eq(transfer.to));
     }
 }
 
 #[gtest]
-fn verify_chats_without_tokens_are_looked_for_at_home_once_callers_show_that_they_keep_none() {
-    // Symptom: callers that never send their token back find their prefix by chance. Sequence:
-    // their chats return, and go where the load is low. Cause: without a token they count as new.
+fn verify_chats_get_a_presumed_token_once_callers_return_without_one() {
+    // Callers that never send their token back would count as new chats and be placed by load,
+    // where they find their prefix only by chance.
     let mut router = router(12, 0, 64);
     let workspace = toucanturn_core::arena::WorkspaceKey::default();
     let Work::Chat { model, .. } = router.chat(0, None) else {
@@ -262,18 +259,19 @@
     };
     let mut recent = RecentChats::default();
     let near = router.key("near-0");
-    let low = router.chat(1000, None);
+    let chat = router.chat(1000, None);
     expect_that!(
-        recent.with_presumed_token(router.scene(), workspace, &low),
-        eq(&low)
+        recent.with_presumed_token(router.placement_context(), workspace, &chat),
+        eq(&chat)
     );
     for prefix in 0..4 {
-        recent.note(Prefix(prefix), model, (near, LIFE));
+        recent.note(Prefix(prefix), model, (near, INCARNATION));
         let work = router.chat(prefix, None);
-        recent.with_presumed_token(router.scene(), workspace, &work);
+        recent.with_presumed_token(router.placement_context(), workspace, &work);
     }
-    let home = router.choose(&low).unwrap();
-    let Work::Chat { token, .. } = recent.with_presumed_token(router.scene(), workspace, &low)
+    let home = router.choose(&chat).unwrap();
+    let Work::Chat { token, .. } =
+        recent.with_presumed_token(router.placement_context(), workspace, &chat)
     else {
         return;
     };
@@ -283,12 +281,12 @@
 }
 
 #[gtest]
-fn verify_router_with_an_old_view_doesnt_fill_the_first_engine_that_it_hears() {
-    // Symptom: one engine carries several times the mean. Sequence: a router stands still, or a
-    // partition begins, and one engine's answer is heard before the others'. Cause: it is the only
-    // one that isn't suspect, so the mean is its own load.
+fn verify_router_with_an_old_view_does_not_overload_the_first_engine_that_it_hears() {
+    // After a pause, or as a partition begins, a router hears one engine before the others, which
+    // are still suspect. A limit from the mean of that engine alone lets it take several times its
+    // share.
     let mut router = router(12, 0, 1000);
-    router.hear_all();
+    router.receive_idle_summaries();
     for engine in 0..12 {
         let key = router.key(&format!("near-{engine}"));
         if engine != 4 {
@@ -301,15 +299,14 @@
         router.send(&work).unwrap();
         router.loads.mark_announced();
     }
-    let first = router.loads.estimate(router.now, router.key("near-4"));
-    expect_that!(first, le(7));
+    let load = router.loads.estimate(router.now, router.key("near-4"));
+    expect_that!(load, le(7));
 }
 
 #[gtest]
-fn verify_router_that_woke_late_places_nothing_before_it_hears_its_endpoints() {
-    // Symptom: one engine carries twice the mean for a second. Sequence: a router stands still for
-    // three seconds and wakes with a queue of requests; one engine is heard, then the others.
-    // Cause: until then that one is all that is known to take work.
+fn verify_router_places_nothing_after_a_pause_until_it_hears_its_endpoints() {
+    // A router is paused for 3 s and resumes with queued requests. If it placed them after it had
+    // heard only one engine, that engine would carry twice the mean for a second.
     let mut router = router(12, 0, 1000);
     router.view.advance(router.now);
     router.now = router.now + Millis(3000);
@@ -319,7 +316,7 @@
     let confirm = |router: &mut Router, range: std::ops::Range<usize>| {
         for engine in range {
             let key = router.key(&format!("near-{engine}"));
-            router.confirm(key, LIFE);
+            router.confirm(key, INCARNATION);
         }
         router.loads.refresh(now, &router.view);
     };
@@ -332,27 +329,25 @@
 
 #[gtest]
 fn verify_idle_suspect_counts_in_the_mean() {
-    // Symptom: engines carry more than the multiple of the mean after one has flapped. Sequence: it
-    // comes back well and idle, and is kept in reserve for a while. Cause: the limit went by the
-    // mean of the others.
+    // A suspect engine has recovered and is idle, but is kept in reserve for a while. A limit from
+    // the mean of the other engines would let them exceed the allowed multiple of the fleet's mean.
     let mut router = router(12, 0, 1000);
-    router.hear_all();
+    router.receive_idle_summaries();
     for engine in 0..11 {
-        router.fill(&format!("near-{engine}"), 24);
+        router.add_announced_load(&format!("near-{engine}"), 24);
     }
     let (now, suspect) = (router.now, router.key("near-11"));
     router.view.seen(now, suspect, Observation::Refused);
     router.loads.refresh(now, &router.view);
     let work = router.chat(7, Some(router.token("near-0", None)));
-    // 1.225 times 265 over 12 engines, rounded up.
+    // 265 requests over 12 engines, times 1.225, rounded up.
     expect_that!(router.choose(&work).unwrap().limit, eq(28));
 }
 
 #[gtest]
-fn verify_a_chat_that_returns_at_once_goes_to_its_engine() {
-    // Symptom: on a quiet fleet a returning chat goes to another engine and waits for its prefix.
-    // Sequence: its last answer has ended, and it comes back before the next summary to peers.
-    // Cause: a request that has ended counted as one that peers don't know of yet.
+fn verify_chat_that_returns_before_the_next_summary_goes_to_its_engine() {
+    // A chat returns after its last answer ended and before the next summary. If the ended request
+    // counted as unannounced, the chat would go to another engine and wait for its prefix.
     let mut router = router(12, 0, 64);
     let (key, now) = (router.key("near-0"), router.now);
     router.loads.sent(now, key);
--- a/crates/core/tests/place/fixture.rs
+++ b/crates/core/tests/place/fixture.rs
@@ -1,4 +1,4 @@
-//! A router's placement with its configuration, view and loads.
+//! Test fixture: a router's configuration, membership view and load table, to place requests with.
 
 use std::sync::Arc;
 
@@ -49,10 +49,10 @@
 };
 
 pub(crate) const NOW: Time = Time(10_000);
-pub(crate) const LIFE: Incarnation = Incarnation(1);
+pub(crate) const INCARNATION: Incarnation = Incarnation(1);
 pub(crate) const ROUTERS: usize = 7;
 
-/// `Router` is one router's part of placement.
+/// One router, with the state that placement uses.
 pub(crate) struct Router {
     pub(crate) config: Arc<Config>,
     pub(crate) view: View,
@@ -61,20 +61,20 @@
     rng: StdRng,
 }
 
-/// Makes router `rt-0` of seven, before `near` engines in its region and `far` in another.
+/// Creates router `rt-0` of seven, with `near` engines in its region and `far` in another one.
 pub(crate) fn router(near: usize, far: usize, capacity: u32) -> Router {
     router_at(0, near, far, capacity)
 }
 
 pub(crate) fn router_at(index: usize, near: usize, far: usize, capacity: u32) -> Router {
     let config = config(near, far, capacity);
-    let me = config.fleet.key(&id(&format!("rt-{index}")));
+    let own_key = config.fleet.key(&id(&format!("rt-{index}")));
     let mut view = View::default();
     view.apply(NOW, &config);
     let mut loads = LoadTable::default();
-    loads.apply(&config, me);
+    loads.apply(&config, own_key);
     for (key, _) in config.endpoints.iter() {
-        view.self_report(NOW, key, answer(NOW, LIFE));
+        view.self_report(NOW, key, live_report(NOW, INCARNATION));
     }
     loads.refresh(NOW, &view);
     Router {
@@ -87,32 +87,33 @@
 }
 
 fn config(near: usize, far: usize, capacity: u32) -> Arc<Config> {
-    let centers = json!({"dc-0": "north", "dc-1": "south"});
+    let data_centers = json!({"dc-0": "north", "dc-1": "south"});
     let member = |i: usize| {
-        let about = json!({"address": format!("10.0.0.{}:80", i + 1),
+        let member = json!({"address": format!("10.0.0.{}:80", i + 1),
             "peer_address": format!("10.0.0.{}:81", i + 1), "data_center": "dc-0"});
-        (format!("rt-{i}"), about)
+        (format!("rt-{i}"), member)
     };
     let fleet: serde_json::Map<String, Value> = (0..ROUTERS).map(member).collect();
     let mut values = vec![
-        ("policy".to_owned(), json!({"data_centers": centers})),
+        ("policy".to_owned(), json!({"data_centers": data_centers})),
         ("fleet".to_owned(), Value::Object(fleet)),
         ("models/assistant".to_owned(), json!({"version": "v1"})),
         ("services/orders".to_owned(), json!({"path": "/orders"})),
     ];
-    let mut add = |name: String, center: &str, rest: Value| {
+    let mut add_endpoint = |name: String, data_center: &str, rest: Value| {
         let address = format!("10.1.{}.1:90", values.len());
-        let mut about = json!({"address": address, "data_center": center, "capacity": capacity});
-        if let (Value::Object(about), Value::Object(rest)) = (&mut about, rest) {
-            about.extend(rest);
+        let mut endpoint =
+            json!({"address": address, "data_center": data_center, "capacity": capacity});
+        if let (Value::Object(fields), Value::Object(rest)) = (&mut endpoint, rest) {
+            fields.extend(rest);
         }
-        values.push((format!("endpoints/{name}"), about));
+        values.push((format!("endpoints/{name}"), endpoint));
     };
     let engine = json!({"kind": "engine", "models": ["assistant"]});
-    (0..near).for_each(|i| add(format!("near-{i}"), "dc-0", engine.clone()));
-    (0..far).for_each(|i| add(format!("far-{i}"), "dc-1", engine.clone()));
+    (0..near).for_each(|i| add_endpoint(format!("near-{i}"), "dc-0", engine.clone()));
+    (0..far).for_each(|i| add_endpoint(format!("far-{i}"), "dc-1", engine.clone()));
     let service = json!({"kind": "service", "service": "orders"});
-    (0..4).for_each(|i| add(format!("orders-{i}"), "dc-0", service.clone()));
+    (0..4).for_each(|i| add_endpoint(format!("orders-{i}"), "dc-0", service.clone()));
     let entry = |(key, value): (String, Value)| Entry {
         key: Bytes::from(key),
         revision: Revision(1),
@@ -129,9 +130,9 @@
     Arc::clone(store.current())
 }
 
-fn answer(now: Time, life: Incarnation) -> SelfReport {
+fn live_report(now: Time, incarnation: Incarnation) -> SelfReport {
     SelfReport {
-        life: Some(life),
+        life: Some(incarnation),
         leaving: false,
         seen: Observation::Answered,
         since: Some(now),
@@ -143,9 +144,10 @@
 }
 
 impl Router {
-    /// Hears an engine say that it is live, and which life this is.
-    pub(crate) fn confirm(&mut self, key: EndpointKey, life: Incarnation) {
-        self.view.self_report(self.now, key, answer(self.now, life));
+    /// Records an engine's report that it is live with this incarnation.
+    pub(crate) fn confirm(&mut self, key: EndpointKey, incarnation: Incarnation) {
+        self.view
+            .self_report(self.now, key, live_report(self.now, incarnation));
     }
 
     pub(crate) fn key(&self, name: &str) -> EndpointKey {
@@ -163,7 +165,7 @@
     pub(crate) fn token(&self, last: &str, before: Option<&str>) -> Token {
         Token {
             last: id(last).tag(),
-            incarnation: LIFE,
+            incarnation: INCARNATION,
             before: before.map(|name| id(name).tag()),
         }
     }
@@ -176,7 +178,7 @@
         }
     }
 
-    pub(crate) fn scene(&self) -> PlacementContext<'_> {
+    pub(crate) fn placement_context(&self) -> PlacementContext<'_> {
         PlacementContext {
             config: &self.config,
             view: &self.view,
@@ -186,24 +188,24 @@
     }
 
     pub(crate) fn choose(&mut self, work: &Work) -> Option<Placed> {
-        let scene = PlacementContext {
+        let context = PlacementContext {
             config: &self.config,
             view: &self.view,
             loads: &self.loads,
             now: self.now,
         };
-        choose(scene, work, &[], &mut self.rng)
+        choose(context, work, &[], &mut self.rng)
     }
 
-    /// Places a chat and notes it as sent; gives the engine's name.
+    /// Places a request, records it as sent and returns the endpoint's name.
     pub(crate) fn send(&mut self, work: &Work) -> Option<String> {
         let placed = self.choose(work)?;
         self.loads.sent(self.now, placed.endpoint);
         Some(self.name(placed.endpoint))
     }
 
-    /// Puts requests on an engine that every router knows of.
-    pub(crate) fn fill(&mut self, name: &str, count: u32) {
+    /// Sends requests to an engine and marks them as announced to the peers.
+    pub(crate) fn add_announced_load(&mut self, name: &str, count: u32) {
         let key = self.key(name);
         for _ in 0..count {
             self.loads.sent(self.now, key);
@@ -211,8 +213,8 @@
         self.loads.mark_announced();
     }
 
-    /// Hears every peer say that it has nothing in progress.
-    pub(crate) fn hear_all(&mut self) {
+    /// Records a summary from every peer without requests in progress.
+    pub(crate) fn receive_idle_summaries(&mut self) {
         for peer in 1..ROUTERS {
             let peer = self.peer(peer);
             self.loads.peer(self.now, peer, &[]);
--- a/crates/core/tests/place/load.rs
+++ b/crates/core/tests/place/load.rs
@@ -1,4 +1,4 @@
-//! The load of endpoints from old and partial knowledge.
+//! Tests of the load estimates that a router makes from old and incomplete reports.
 
 use googletest::prelude::*;
 use toucanturn_core::{
@@ -7,14 +7,14 @@
 };
 
 use crate::fixture::{
-    LIFE,
+    INCARNATION,
     Router,
     router, //
 };
 
 fn report(in_flight: u32) -> Report {
     Report {
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         age: Millis(1000),
         in_flight,
         ..Report::default()
@@ -36,9 +36,9 @@
 }
 
 #[gtest]
-fn verify_silent_peer_is_forgotten() {
-    // Symptom: an engine that is idle gets no work. Sequence: a router ends while it has requests
-    // there. Cause: its last summary counts for ever.
+fn verify_summary_of_a_silent_peer_expires() {
+    // A router stops while it has requests at an engine. If its last summary never expired, the
+    // idle engine would get no work.
     let mut router = router(2, 0, 64);
     let (key, peer) = (router.key("near-0"), router.peer(1));
     router.loads.peer(router.now, peer, &[(key, 9)]);
@@ -48,9 +48,9 @@
 }
 
 #[gtest]
-fn verify_report_stands_for_routers_that_are_not_heard() {
+fn verify_report_covers_routers_that_are_not_heard() {
     let mut router = router(2, 0, 64);
-    router.fill("near-0", 4);
+    router.add_announced_load("near-0", 4);
     router.now = router.now + Millis(1500);
     let key = router.key("near-0");
     router.loads.report(router.now, key, &report(11));
@@ -59,14 +59,13 @@
 
 #[gtest]
 fn verify_requests_since_a_report_count_once() {
-    // Symptom: load swings between engines. Sequence: a report that is a second old replaces the
-    // count of requests sent since, or is added to it. Cause: the report and the count speak of
-    // different times.
+    // A report is 1 s old when it arrives. If it replaced the requests sent since, or were added to
+    // all of them, load would swing between engines.
     let mut router = router(2, 0, 64);
     let key = router.key("near-0");
-    router.fill("near-0", 4);
+    router.add_announced_load("near-0", 4);
     router.now = router.now + Millis(1500);
-    router.fill("near-0", 6);
+    router.add_announced_load("near-0", 6);
     router.loads.report(router.now, key, &report(4));
     expect_that!(estimate(&router, "near-0"), eq(10));
     router.loads.report(router.now, key, &report(7));
@@ -79,7 +78,7 @@
 }
 
 #[gtest]
-fn verify_old_report_doesnt_replace_what_a_head_stated() {
+fn verify_old_report_does_not_replace_the_load_of_an_answer_head() {
     let mut router = router(2, 0, 64);
     let key = router.key("near-0");
     router.loads.record_answer_load(router.now, key, 8);
@@ -88,12 +87,13 @@
 }
 
 #[gtest]
-fn verify_report_adds_little_while_all_are_heard() {
-    // A report differs by the requests on their way; only a large surplus is somebody's.
+fn verify_report_adds_only_a_large_surplus_while_all_peers_are_heard() {
+    // A report differs from the announced counts by the requests in transit. Only a larger surplus
+    // comes from requests that no router has announced.
     let mut router = router(2, 0, 64);
-    router.hear_all();
+    router.receive_idle_summaries();
     let key = router.key("near-0");
-    router.fill("near-0", 4);
+    router.add_announced_load("near-0", 4);
     router.loads.record_answer_load(router.now, key, 6);
     expect_that!(estimate(&router, "near-0"), eq(4));
     router.loads.record_answer_load(router.now, key, 14);
@@ -101,15 +101,15 @@
 }
 
 #[gtest]
-fn verify_peers_are_told_before_an_endpoint_gets_more() {
+fn verify_load_is_announced_before_an_endpoint_gets_more() {
     let mut router = router(2, 0, 64);
     let key = router.key("near-0");
-    let (far, close) = (40, 3);
+    let (high_limit, low_limit) = (40, 3);
     router.loads.sent(router.now, key);
-    expect_false!(router.loads.must_announce(key, far));
-    expect_true!(router.loads.must_announce(key, close));
+    expect_false!(router.loads.must_announce(key, high_limit));
+    expect_true!(router.loads.must_announce(key, low_limit));
     router.loads.sent(router.now, key);
-    expect_true!(router.loads.must_announce(key, far));
+    expect_true!(router.loads.must_announce(key, high_limit));
     router.loads.mark_announced();
-    expect_false!(router.loads.must_announce(key, close));
+    expect_false!(router.loads.must_announce(key, low_limit));
 }
--- a/crates/core/tests/place/main.rs
+++ b/crates/core/tests/place/main.rs
@@ -1,4 +1,4 @@
-//! Placement and the loads that it goes by.
+//! Tests of placement and of the load estimates that it uses.
 
 #[cfg(test)]
 mod choose;
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -1,10 +1,11 @@
-//! Retries: what may be repeated, how much, when; and when callers come back.
+//! Tests which requests are retried, how often and when, and when refused callers are told to come
+//! back.
 
 use googletest::prelude::*;
 use proptest::{
     prelude::any,
     test_runner::{
-        Config as Runs,
+        Config as RunnerConfig,
         RngAlgorithm,
         RngSeed,
         TestCaseError,
@@ -55,17 +56,18 @@
 mod rig;
 use rig::*;
 
-fn runs() -> TestRunner {
-    TestRunner::new(Runs {
+fn test_runner() -> TestRunner {
+    TestRunner::new(RunnerConfig {
         cases: 200,
         rng_algorithm: RngAlgorithm::ChaCha,
         rng_seed: RngSeed::Fixed(2026),
         failure_persistence: None,
-        ..Runs::default()
+        ..RunnerConfig::default()
     })
 }
 
-fn works() -> [(Work, bool); 3] {
+/// Lists each kind of work, with whether a request of it may run twice.
+fn works_with_repeatability() -> [(Work, bool); 3] {
     let service = ServiceKey::default();
     let (key, content) = (Key::default(), 0);
     let plain = |idempotent| Work::Plain {
@@ -82,55 +84,61 @@
 
 #[googletest::test]
 fn verify_what_may_not_be_repeated_is_sent_again_only_when_nothing_left() {
-    // Symptom: a renewal was charged twice. Sequence: the connection breaks after the request
-    // left, and it is sent to another replica. Cause: the retry looked at the error alone.
+    // The connection breaks after a request that must not run twice has left. A retry that looks at
+    // the error alone sends it to another replica and, for example, charges a renewal twice.
     let policy = Policy::default();
-    let later = Time(10);
+    let deadline = Time(10);
     let failed = |status| {
         End::Failed(Answer {
             status,
             ..Answer::default()
         })
     };
-    let ask = |work: &Work, end: End| retry::allowed(&policy, work, 1, &end, Time(0), later);
-    for (work, repeatable) in works() {
+    let is_allowed =
+        |work: &Work, end: End| retry::allowed(&policy, work, 1, &end, Time(0), deadline);
+    for (work, repeatable) in works_with_repeatability() {
         for leaving in [false, true] {
-            expect_true!(ask(&work, End::NotSent { leaving }));
+            expect_true!(is_allowed(&work, End::NotSent { leaving }));
         }
-        expect_that!(ask(&work, End::Broken { relayed: false }), eq(repeatable));
-        expect_that!(ask(&work, failed(503)), eq(repeatable));
+        expect_that!(
+            is_allowed(&work, End::Broken { relayed: false }),
+            eq(repeatable)
+        );
+        expect_that!(is_allowed(&work, failed(503)), eq(repeatable));
         for end in [
             End::Broken { relayed: true },
             End::Cancelled,
             failed(501),
             End::Whole(Answer::default()),
         ] {
-            expect_false!(ask(&work, end));
+            expect_false!(is_allowed(&work, end));
         }
         let end = End::NotSent { leaving: false };
-        expect_false!(retry::allowed(&policy, &work, 3, &end, Time(0), later));
-        expect_false!(retry::allowed(&policy, &work, 1, &end, later, later));
+        expect_false!(retry::allowed(&policy, &work, 3, &end, Time(0), deadline));
+        expect_false!(retry::allowed(&policy, &work, 1, &end, deadline, deadline));
     }
 }
 
 #[googletest::test]
-fn verify_retries_are_a_share_of_first_attempts_at_any_time() {
-    let result = runs().run(&(any::<u64>(), 0..=1000u32), |(seed, share)| {
+fn verify_retries_stay_within_the_budget_at_any_time() {
+    let result = test_runner().run(&(any::<u64>(), 0..=1000u32), |(seed, share)| {
         let mut rng = StdRng::seed_from_u64(seed);
         let policy = Policy {
             retry_budget: Permille(share),
             ..Policy::default()
         };
-        let (mut budget, mut firsts, mut retries) = (RetryBudget::default(), 0u64, 0u64);
+        let (mut budget, mut first_attempts, mut retries) = (RetryBudget::default(), 0u64, 0u64);
         for _ in 0..2000 {
             if rand::RngExt::random_bool(&mut rng, 0.5) {
                 budget.first(&policy);
-                firsts += 1;
+                first_attempts += 1;
             } else {
                 retries += u64::from(budget.take());
             }
-            if retries * 1000 > firsts * u64::from(share) {
-                return Err(TestCaseError::fail(format!("{retries} after {firsts}")));
+            if retries * 1000 > first_attempts * u64::from(share) {
+                return Err(TestCaseError::fail(format!(
+                    "{retries} retries after {first_attempts} first attempts"
+                )));
             }
         }
         Ok(())
@@ -139,7 +147,7 @@
 }
 
 #[googletest::test]
-fn verify_later_retries_wait_longer_and_apart() {
+fn verify_retry_backoff_is_random_and_bounded() {
     let mut rng = StdRng::seed_from_u64(1);
     expect_that!(retry::backoff(1, &mut rng), eq(Millis(0)));
     let waits: Vec<_> = (0..500).map(|_| retry::backoff(2, &mut rng).0).collect();
@@ -151,9 +159,9 @@
 }
 
 #[googletest::test]
-fn verify_returns_are_spread_and_never_early() {
-    // Symptom: each second the router was overrun anew. Sequence: it refuses a thousand callers at
-    // once, all with the same Retry-After, and they return together. Cause: one fixed time.
+fn verify_retry_after_is_spread_and_at_least_the_minimum() {
+    // A thousand callers are refused at once. With one fixed `Retry-After` they return together and
+    // overload the router again.
     let mut rng = StdRng::seed_from_u64(1);
     let (code, min_wait) = (Code::Overloaded, Millis(1000));
     let cause = RefusalCause { code, min_wait };
@@ -166,7 +174,8 @@
     expect_that!(bins.iter().max(), some(le(&50)));
 }
 
-/// Runs `calls` chats, ten a tick, and ends every attempt by `end`. Gives attempts and refusals.
+/// Starts `calls` chats, ten in each tick, and ends every attempt with `end`. Returns the number of
+/// attempts and the refusals.
 fn run(node: &mut Node, request: &Request, calls: u64, end: &End) -> (u64, Vec<Refusal>) {
     let (mut now, mut next, mut attempts) = (START, 0, 0);
     let mut refusals = Vec::new();
@@ -219,9 +228,9 @@
 }
 
 #[googletest::test]
-fn verify_attempts_are_at_most_eleven_tenths_when_every_endpoint_fails() {
-    // Symptom: engines that came back were buried again. Sequence: all fail, every call is tried
-    // three times. Cause: retries added to the load that had brought the engines down.
+fn verify_attempts_are_at_most_110_percent_of_calls_when_every_endpoint_fails() {
+    // All engines fail. Three attempts for every call would overload the engines again as they come
+    // back.
     let ends = [
         End::NotSent { leaving: false },
         End::Broken { relayed: false },
@@ -229,17 +238,17 @@
     for end in ends {
         let (mut node, request) = node(0.1, 100_000);
         let (attempts, refusals) = run(&mut node, &request, 5000, &end);
-        println!("{attempts} attempts for 5000 calls that end {end:?}");
+        println!("{attempts} attempts for 5000 calls that end with {end:?}");
         expect_that!(attempts, le(5500));
         expect_that!(refusals.len(), eq(5000));
     }
 }
 
 #[googletest::test]
-fn verify_not_run_is_never_said_of_a_call_that_may_have_run() {
-    // Symptom: a caller was told "not run" of a call that an engine had run. Sequence: the first
-    // attempt breaks after its bytes left, the second finds the connection refused. Cause: only
-    // the last attempt was looked at.
+fn verify_outcome_is_unknown_when_any_attempt_may_have_run() {
+    // The first attempt breaks after its bytes left, the second finds the connection refused. An
+    // outcome taken from the last attempt alone tells the caller "not run", though an engine may
+    // have run the call.
     let (mut node, request) = node(1.0, 1000);
     let mut now = START + TICK;
     let call = Call(1);
@@ -252,16 +261,16 @@
             End::NotSent { leaving: false }
         };
         let attempt = Attempt(n);
-        // A retry may wait; ticks pass.
+        // The node may delay a retry by some ticks.
         for _ in 0..4 {
             now = now + TICK;
             node.handle(now, Event::Tick, &mut out);
         }
         node.handle(now, Event::Ended { call, attempt, end }, &mut out);
     }
-    let told = out.iter().find_map(|action| match action {
+    let outcome = out.iter().find_map(|action| match action {
         Action::Refuse { refusal, .. } => Some(refusal.outcome),
         _ => None,
     });
-    expect_that!(told, some(eq(Outcome::Unknown)));
+    expect_that!(outcome, some(eq(Outcome::Unknown)));
 }
