--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -70,7 +70,7 @@
 }
 
 guard lease crates/core/src/once/mod.rs \
-    's/let until = self\.lease\.held\(now\)\?;/let until = now.mono + Millis(1000);/' \
+    's/let until = self\.lease\.held_until\(now\)\?;/let until = now.mono + Millis(1000);/' \
     toucanturn-core once keys::verify_nothing_is_sent_after_the_lease
 guard promise crates/core/src/once/vote.rs \
     '/Some\(promise\) if now\.mono < promise\.until => return false,/d' \
@@ -91,7 +91,7 @@
     's/member\.stated \|= word\.life\.is_some\(\);/member.leaving = false; &/' \
     toucanturn-core membership verify_leaving_sticks_to_one_life
 guard fresh_view crates/core/src/membership/member.rs \
-    's/\(Some\(sure\), _\) => .*/(Some(_), _) => false,/' \
+    's/\(Some\(at\), _\) => .*/(Some(_), _) => false,/' \
     toucanturnd daemon freeze::verify_a_router_that_wakes_gives_a_leaving_engine_no_work
 guard revision_up crates/core/src/config/store.rs \
     's/if revision <= current \|\| revision == held \|\| /if /' \
@@ -118,7 +118,7 @@
     's/self\.proof\.covers_evacuations\(now, &self\.bounds\)/true/' \
     toucanturn-core gateway evacuation::verify_nothing_goes_out_once_an_evacuation_could_be_unknown
 guard cold_quota crates/core/src/gateway/place.rs \
-    's/\|\| warmup\.admits\(scene\.now, \*key\)/|| true/' \
+    's/\|\| warmup\.admits\(context\.now, \*key\)/|| true/' \
     toucanturn-platform path evacuations::verify_requests_go_round_a_cold_endpoint_where_others_are_warm
 guard cold_owners crates/core/src/gateway/warmup.rs \
     's/u32::from\(owns\)/1/' \
@@ -127,7 +127,7 @@
     's/if !heard\.is_empty\(\) \{/if true {/; s/now\.since\(\*at\) < MEMBER_TTL/heard.contains(tag)/; s/retain\(\|_, at\|/retain(|tag, _|/' \
     toucanturn-core gateway warmup::verify_routers_that_are_cut_off_alone_keep_to_their_parts
 guard cold_settle crates/core/src/gateway/warmup.rs \
-    's/\(quiet \|\| now\.since\(started\) >= SETTLE\) && !lonely/!lonely/' \
+    's/\(quiet \|\| now\.since\(started\) >= MAX_DISCOVERY_TIME\) && !isolated/!isolated/' \
     toucanturn-core gateway warmup::verify_a_router_that_has_just_started_sends_nothing_to_a_cold_endpoint
 guard cold_restored crates/core/src/gateway/registry.rs \
     '/endpoint\.doubt\(now, cold\(&endpoint\.entry\.service\)\);/d' \
