--- a/crates/core/src/node/orders.rs
+++ b/crates/core/src/node/orders.rs
@@ -1,4 +1,4 @@
-//! Turns the steps of [`OrderScheduler`](crate::orders::Orders) into actions and log lines.
+//! Turns the steps of [`OrderScheduler`](crate::orders::OrderScheduler) into actions and log lines.
 
 use std::sync::Arc;
 
