--- a/crates/core/tests/once/main.rs
+++ b/crates/core/tests/once/main.rs
@@ -1,8 +1,8 @@
-//! Calls that run at most once.
+//! Tests of calls that run at most once.
 #![expect(clippy::unwrap_used, reason = "tests")]
 
 mod keys;
 mod lease;
 mod property;
 mod rig;
-mod world;
+mod simulation;
--- a/crates/core/tests/once/property.rs
+++ b/crates/core/tests/once/property.rs
@@ -1,4 +1,5 @@
-//! Whole routers under random faults: no key reaches an endpoint twice, and "not run" is true.
+//! Complete routers under random faults: no key runs twice at an endpoint, and the outcome "not
+//! run" is true.
 
 use googletest::prelude::*;
 use proptest::{
@@ -22,64 +23,65 @@
     Outcome, //
 };
 
-use crate::world::{
+use crate::simulation::{
     Fault,
     NAMES,
-    SKEW,
-    World, //
+    SKEW_MS,
+    Simulation, //
 };
 
-/// `Step` is one thing that happens.
+/// `Step` is one event of a random scenario.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Fresh {
+    NewKey {
         entry: usize,
-        ahead: u64,
+        wall_offset_ms: u64,
     },
     Repeat {
         entry: usize,
-        back: usize,
+        requests_back: usize,
     },
-    /// A key that is sent through every router.
+    /// A new key is sent through every router.
     Spread {
         entry: usize,
     },
-    /// A router is cut off and left out of a list that it does not hear of, while keys spread.
+    /// A router is cut off and removed by a fleet list that it does not receive, while keys are
+    /// sent through every router.
     Takeover {
         router: usize,
-        speed: u64,
+        interval_ms: u64,
     },
     Restart {
         router: usize,
-        lingers: bool,
+        keeps_running: bool,
     },
     Pause {
         router: usize,
-        span: u64,
+        span_ms: u64,
     },
     Publish {
         left_out: usize,
     },
-    Group {
+    Partition {
         router: usize,
         group: u8,
     },
-    Stale {
+    StaleConfig {
         router: usize,
-        back: u64,
+        revisions_behind: u64,
     },
-    Current,
-    Loss {
+    Heal,
+    LossAndDelay {
         permille: u32,
-        delay: u64,
+        max_delay_ms: u64,
     },
-    Clock {
+    WallClock {
         router: usize,
-        ahead: u64,
+        wall_offset_ms: u64,
     },
     Fault(Fault),
     Wait {
-        span: u64,
+        span_ms: u64,
     },
 }
 
@@ -93,238 +95,292 @@
         1 => Just(Fault::Silent),
     ];
     prop_oneof![
-        6 => (router(), 0..=SKEW).prop_map(|(entry, ahead)| Step::Fresh { entry, ahead }),
-        8 => (router(), 0..4usize).prop_map(|(entry, back)| Step::Repeat { entry, back }),
+        6 => (router(), 0..=SKEW_MS)
+            .prop_map(|(entry, wall_offset_ms)| Step::NewKey { entry, wall_offset_ms }),
+        8 => (router(), 0..4usize)
+            .prop_map(|(entry, requests_back)| Step::Repeat { entry, requests_back }),
         4 => router().prop_map(|entry| Step::Spread { entry }),
         2 => (router(), 50..400u64)
-            .prop_map(|(router, speed)| Step::Takeover { router, speed }),
+            .prop_map(|(router, interval_ms)| Step::Takeover { router, interval_ms }),
         2 => (router(), any::<bool>())
-            .prop_map(|(router, lingers)| Step::Restart { router, lingers }),
-        2 => (router(), 100..6000u64).prop_map(|(router, span)| Step::Pause { router, span }),
+            .prop_map(|(router, keeps_running)| Step::Restart { router, keeps_running }),
+        2 => (router(), 100..6000u64).prop_map(|(router, span_ms)| Step::Pause { router, span_ms }),
         2 => (0..=NAMES.len()).prop_map(|left_out| Step::Publish { left_out }),
-        2 => (router(), 0..2u8).prop_map(|(router, group)| Step::Group { router, group }),
-        1 => (router(), 0..4u64).prop_map(|(router, back)| Step::Stale { router, back }),
-        1 => Just(Step::Current),
-        1 => (0..300u32, 1..400u64).prop_map(|(permille, delay)| Step::Loss { permille, delay }),
-        1 => (router(), 0..=SKEW).prop_map(|(router, ahead)| Step::Clock { router, ahead }),
+        2 => (router(), 0..2u8).prop_map(|(router, group)| Step::Partition { router, group }),
+        1 => (router(), 0..4u64)
+            .prop_map(|(router, revisions_behind)| Step::StaleConfig { router, revisions_behind }),
+        1 => Just(Step::Heal),
+        1 => (0..300u32, 1..400u64)
+            .prop_map(|(permille, max_delay_ms)| Step::LossAndDelay { permille, max_delay_ms }),
+        1 => (router(), 0..=SKEW_MS)
+            .prop_map(|(router, wall_offset_ms)| Step::WallClock { router, wall_offset_ms }),
         1 => fault.prop_map(Step::Fault),
-        3 => (500..15_000u64).prop_map(|span| Step::Wait { span }),
+        3 => (500..15_000u64).prop_map(|span_ms| Step::Wait { span_ms }),
     ]
 }
 
-fn spread(world: &mut World, entry: usize) {
+fn send_through_all_routers(simulation: &mut Simulation, entry: usize) {
     for index in 0..NAMES.len() {
         let name = NAMES[(entry + index) % NAMES.len()];
         if index == 0 {
-            world.fresh(name, SKEW / 2);
+            simulation.send_new_key(name, SKEW_MS / 2);
         } else {
-            world.repeat(name, 0);
+            simulation.repeat_key(name, 0);
         }
     }
 }
 
-fn without(router: usize) -> Vec<&'static str> {
+fn all_except(router: usize) -> Vec<&'static str> {
     let stays = |(index, _): &(usize, &&str)| *index != router;
     let members = NAMES.iter().enumerate().filter(stays);
     members.map(|(_, name)| *name).collect()
 }
 
-fn take(world: &mut World, step: Step) {
+fn apply_step(simulation: &mut Simulation, step: Step) {
     match step {
-        Step::Spread { entry } => spread(world, entry),
-        Step::Takeover { router, speed } => {
-            world.groups.insert(NAMES[router], 1);
-            world.serves.insert(NAMES[router], world.revision());
-            world.publish(&without(router));
+        Step::Spread { entry } => send_through_all_routers(simulation, entry),
+        Step::Takeover {
+            router,
+            interval_ms,
+        } => {
+            simulation.partition_groups.insert(NAMES[router], 1);
+            simulation
+                .served_revisions
+                .insert(NAMES[router], simulation.revision());
+            simulation.publish(&all_except(router));
             for number in 0..20 {
-                spread(world, router + number);
-                world.run(speed);
+                send_through_all_routers(simulation, router + number);
+                simulation.advance(interval_ms);
             }
-            world.groups.insert(NAMES[router], 0);
-            world.serves.insert(NAMES[router], u64::MAX);
+            simulation.partition_groups.insert(NAMES[router], 0);
+            simulation.served_revisions.insert(NAMES[router], u64::MAX);
         }
-        Step::Fresh { entry, ahead } => world.fresh(NAMES[entry], ahead),
-        Step::Repeat { entry, back } => world.repeat(NAMES[entry], back),
-        Step::Restart { router, lingers } => world.restart(NAMES[router], lingers),
-        Step::Pause { router, span } => world.pause(NAMES[router], span),
-        Step::Publish { left_out } => world.publish(&without(left_out)),
-        Step::Group { router, group } => {
-            world.groups.insert(NAMES[router], group);
+        Step::NewKey {
+            entry,
+            wall_offset_ms,
+        } => simulation.send_new_key(NAMES[entry], wall_offset_ms),
+        Step::Repeat {
+            entry,
+            requests_back,
+        } => simulation.repeat_key(NAMES[entry], requests_back),
+        Step::Restart {
+            router,
+            keeps_running,
+        } => simulation.restart(NAMES[router], keeps_running),
+        Step::Pause { router, span_ms } => simulation.pause(NAMES[router], span_ms),
+        Step::Publish { left_out } => simulation.publish(&all_except(left_out)),
+        Step::Partition { router, group } => {
+            simulation.partition_groups.insert(NAMES[router], group);
         }
-        Step::Stale { router, back } => {
-            let at = world.revision().saturating_sub(back).max(1);
-            world.serves.insert(NAMES[router], at);
+        Step::StaleConfig {
+            router,
+            revisions_behind,
+        } => {
+            let at = simulation
+                .revision()
+                .saturating_sub(revisions_behind)
+                .max(1);
+            simulation.served_revisions.insert(NAMES[router], at);
         }
-        Step::Current => {
-            world.serves.values_mut().for_each(|at| *at = u64::MAX);
-            world.groups.values_mut().for_each(|group| *group = 0);
-            (world.loss, world.delay) = (0, 2);
+        Step::Heal => {
+            simulation
+                .served_revisions
+                .values_mut()
+                .for_each(|at| *at = u64::MAX);
+            simulation
+                .partition_groups
+                .values_mut()
+                .for_each(|group| *group = 0);
+            (simulation.loss_permille, simulation.max_delay_ms) = (0, 2);
         }
-        Step::Loss { permille, delay } => (world.loss, world.delay) = (permille, delay),
-        Step::Clock { router, ahead } => world.set_clock(NAMES[router], ahead),
-        Step::Fault(fault) => world.fault = fault,
-        Step::Wait { span } => world.run(span),
+        Step::LossAndDelay {
+            permille,
+            max_delay_ms,
+        } => (simulation.loss_permille, simulation.max_delay_ms) = (permille, max_delay_ms),
+        Step::WallClock {
+            router,
+            wall_offset_ms,
+        } => simulation.set_clock(NAMES[router], wall_offset_ms),
+        Step::Fault(fault) => simulation.fault = fault,
+        Step::Wait { span_ms } => simulation.advance(span_ms),
     }
 }
 
-fn play(seed: u64, steps: &[(Step, u64)]) -> World {
-    let mut world = World::new(seed);
-    for (step, span) in steps {
-        take(&mut world, *step);
-        world.run(*span);
+fn run_steps(seed: u64, steps: &[(Step, u64)]) -> Simulation {
+    let mut simulation = Simulation::new(seed);
+    for (step, span_ms) in steps {
+        apply_step(&mut simulation, *step);
+        simulation.advance(*span_ms);
     }
-    take(&mut world, Step::Current);
-    world.fault = Fault::None;
-    world.run(15_000);
-    world
+    apply_step(&mut simulation, Step::Heal);
+    simulation.fault = Fault::None;
+    simulation.advance(15_000);
+    simulation
 }
 
 #[gtest]
 fn verify_a_quiet_fleet_runs_every_key() {
-    let mut world = World::new(1);
+    let mut simulation = Simulation::new(1);
     for index in 0..100 {
-        world.fresh(NAMES[index % 5], SKEW / 2);
-        world.repeat(NAMES[(index + 1) % 5], 0);
-        world.run(50);
+        simulation.send_new_key(NAMES[index % 5], SKEW_MS / 2);
+        simulation.repeat_key(NAMES[(index + 1) % 5], 0);
+        simulation.advance(50);
     }
-    world.run(5000);
-    let done = |t: &&crate::world::Trial| matches!(t.told, Some((Outcome::Done, _)));
-    expect_that!(world.trials.iter().filter(done).count(), eq(200));
-    expect_that!(world.runs.len(), eq(100));
-    expect_that!(world.broken, is_empty());
+    simulation.advance(5000);
+    let done = |t: &&crate::simulation::CallerRequest| matches!(t.reply, Some((Outcome::Done, _)));
+    expect_that!(simulation.requests.iter().filter(done).count(), eq(200));
+    expect_that!(simulation.runs.len(), eq(100));
+    expect_that!(simulation.violations, is_empty());
 }
 
 #[gtest]
 fn verify_a_repeat_waits_no_longer_than_its_deadline() {
-    // Symptom: a caller that repeats gets no answer.
-    // Sequence: the service runs the first request and falls silent; the repeat waits for it.
-    // Cause: a wait that ends only with the first request.
-    let mut world = World::new(1);
-    world.fault = Fault::Silent;
-    world.fresh("r1", SKEW / 2);
-    world.run(500);
+    // Guards against a repeat that gets no answer: the service runs the first request and falls
+    // silent, and the repeat waits until the first request ends.
+    let mut simulation = Simulation::new(1);
+    simulation.fault = Fault::Silent;
+    simulation.send_new_key("r1", SKEW_MS / 2);
+    simulation.advance(500);
     for entry in NAMES {
-        world.repeat(entry, 0);
+        simulation.repeat_key(entry, 0);
     }
-    world.run(3200);
-    let told: Vec<_> = world.trials[1..].iter().filter_map(|t| t.told).collect();
-    let unknown = |told: &(Outcome, Option<Code>)| told.0 == Outcome::Unknown;
-    expect_that!(told, each(predicate(unknown)));
+    simulation.advance(3200);
+    let replies: Vec<_> = simulation.requests[1..]
+        .iter()
+        .filter_map(|t| t.reply)
+        .collect();
+    let unknown = |reply: &(Outcome, Option<Code>)| reply.0 == Outcome::Unknown;
+    expect_that!(replies, each(predicate(unknown)));
     expect_that!(
-        told,
+        replies,
         contains(eq(&(Outcome::Unknown, Some(Code::KeyInProgress))))
     );
-    expect_that!(told.len(), eq(5));
+    expect_that!(replies.len(), eq(5));
 }
 
 #[gtest]
-fn verify_a_draining_home_gives_first_answers_and_vouches() {
-    // Symptom: a caller whose payment ran is told "not run" during a rolling update.
-    // Sequence: the home drains; a key that ran comes again, and a new one comes.
-    // Cause: a drain that refuses before it looks at the key.
-    let mut world = World::new(1);
+fn verify_a_draining_home_replays_answers_and_refuses_new_keys() {
+    // Guards against a payment that ran and is answered with "not run" during a rolling update: the
+    // home drains, a key that ran and a new one come, and the drain refuses before it looks up the
+    // key.
+    let mut simulation = Simulation::new(1);
     for _ in 0..20 {
-        world.fresh("r1", SKEW / 2);
+        simulation.send_new_key("r1", SKEW_MS / 2);
     }
-    world.run(1000);
+    simulation.advance(1000);
     for name in NAMES {
-        world.drain(name);
+        simulation.drain(name);
     }
-    world.run(100);
+    simulation.advance(100);
     for back in [0, 2, 4, 6, 8, 10, 12, 14, 16, 18] {
-        world.repeat("r1", back);
+        simulation.repeat_key("r1", back);
     }
-    let before = world.trials.len();
+    let before = simulation.requests.len();
     for _ in 0..20 {
-        world.fresh("r1", SKEW / 2);
+        simulation.send_new_key("r1", SKEW_MS / 2);
     }
-    world.run(1000);
-    expect_that!(world.broken, is_empty());
-    let outcomes = |trials: &[crate::world::Trial], wanted| {
-        let hit = |t: &&crate::world::Trial| matches!(t.told, Some((o, _)) if o == wanted);
-        trials.iter().filter(hit).count()
+    simulation.advance(1000);
+    expect_that!(simulation.violations, is_empty());
+    let outcomes = |requests: &[crate::simulation::CallerRequest], wanted| {
+        let matching =
+            |t: &&crate::simulation::CallerRequest| matches!(t.reply, Some((o, _)) if o == wanted);
+        requests.iter().filter(matching).count()
     };
-    expect_that!(outcomes(&world.trials[20..before], Outcome::Done), gt(0));
-    expect_that!(outcomes(&world.trials[20..before], Outcome::NotRun), eq(0));
-    expect_that!(outcomes(&world.trials[before..], Outcome::Done), eq(0));
-    expect_that!(outcomes(&world.trials[before..], Outcome::NotRun), gt(0));
+    expect_that!(
+        outcomes(&simulation.requests[20..before], Outcome::Done),
+        gt(0)
+    );
+    expect_that!(
+        outcomes(&simulation.requests[20..before], Outcome::NotRun),
+        eq(0)
+    );
+    expect_that!(
+        outcomes(&simulation.requests[before..], Outcome::Done),
+        eq(0)
+    );
+    expect_that!(
+        outcomes(&simulation.requests[before..], Outcome::NotRun),
+        gt(0)
+    );
 }
 
 #[gtest]
 fn verify_a_draining_home_serves_its_keys_while_it_is_up() {
-    // Symptom: for minutes a seventh of all payments is refused in each rolling update.
-    // Sequence: a home drains for as long as its own callers' streams last; peers bring its keys.
-    // Cause: a drain that refuses work which nobody else may do.
-    let mut world = World::new(1);
-    world.fault = Fault::Silent;
-    world.fresh("r1", SKEW / 2);
-    world.run(500);
-    world.fault = Fault::None;
-    world.drain("r1");
+    // Guards against a seventh of all payments being refused for minutes in each rolling update: a
+    // home drains for as long as its own callers' streams last, peers forward its keys, and it
+    // refuses work that no other router may do.
+    let mut simulation = Simulation::new(1);
+    simulation.fault = Fault::Silent;
+    simulation.send_new_key("r1", SKEW_MS / 2);
+    simulation.advance(500);
+    simulation.fault = Fault::None;
+    simulation.drain("r1");
     for entry in ["r2", "r3", "r4", "r5"].repeat(10) {
-        world.fresh(entry, SKEW / 2);
+        simulation.send_new_key(entry, SKEW_MS / 2);
     }
-    world.run(2000);
-    let done = |t: &&crate::world::Trial| matches!(t.told, Some((Outcome::Done, _)));
-    expect_that!(world.trials.iter().filter(done).count(), eq(40));
+    simulation.advance(2000);
+    let done = |t: &&crate::simulation::CallerRequest| matches!(t.reply, Some((Outcome::Done, _)));
+    expect_that!(simulation.requests.iter().filter(done).count(), eq(40));
 }
 
 #[gtest]
 fn verify_a_broken_attempt_is_repeated_where_keys_are_checked() {
-    // Symptom: a caller is told "unknown" of what the service could have answered again; or "not
-    // run" of what it ran.
-    // Sequence: the connection breaks after the service ran the call; the next attempt gets its
-    // answer, or finds no service to send to.
-    // Cause: a retry rule that ignores the service's own check, or an outcome of the last attempt.
+    // Guards against "unknown" for a call that the service could have answered again, from a retry
+    // rule that ignores the service's own key check, and against "not run" for a call that ran,
+    // from an outcome of the last attempt alone. The connection breaks after the service ran the
+    // call; the next attempt gets its answer, or finds no service to send to.
     let cases = [
         (Fault::None, Outcome::Done),
         (Fault::Refuse, Outcome::Unknown),
     ];
     for (then, outcome) in cases {
-        let mut world = World::new(1);
-        world.check_keys();
-        for number in 0..100 {
-            world.fresh(NAMES[number % 5], SKEW / 2);
-            world.run(20);
+        let mut simulation = Simulation::new(1);
+        simulation.enable_key_checks();
+        for index in 0..100 {
+            simulation.send_new_key(NAMES[index % 5], SKEW_MS / 2);
+            simulation.advance(20);
         }
-        world.run(1000);
-        let runs = world.runs.len();
-        world.fault = Fault::Break;
-        world.fresh("r1", SKEW / 2);
+        simulation.advance(1000);
+        let runs = simulation.runs.len();
+        simulation.fault = Fault::Break;
+        simulation.send_new_key("r1", SKEW_MS / 2);
         for _ in 0..3000 {
-            if world.runs.len() == runs {
-                world.run(1);
+            if simulation.runs.len() == runs {
+                simulation.advance(1);
             }
         }
-        world.fault = then;
-        world.run(3000);
-        let told = world.trials[100].told.map(|(outcome, _)| outcome);
-        expect_that!(told, some(eq(outcome)));
-        expect_that!(world.broken, is_empty());
+        simulation.fault = then;
+        simulation.advance(3000);
+        let received = simulation.requests[100].reply.map(|(outcome, _)| outcome);
+        expect_that!(received, some(eq(outcome)));
+        expect_that!(simulation.violations, is_empty());
     }
 }
 
 #[gtest]
 fn verify_a_takeover_runs_no_key_twice() {
-    // Symptom: a payment is taken twice.
-    // Sequence: shrunk from the test below with the voters' promise taken out: a home is cut off
-    // and the next list leaves it out; keys made meanwhile reach both it and its successor.
-    // Cause: the successor starts while the first still holds its lease.
+    // Guards against a payment that is taken twice because a home's successor starts while the home
+    // still holds its lease: a home is cut off, the next list leaves it out, and keys made
+    // meanwhile reach both. Shrunk from a failure of `verify_no_key_runs_twice_and_not_run_is_true`
+    // without the voters' promise.
     for router in 0..NAMES.len() {
-        for speed in [60, 120, 240] {
-            let takeover = Step::Takeover { router, speed };
-            let world = play(1, &[(Step::Wait { span: 500 }, 0), (takeover, 500)]);
-            expect_that!(world.broken, is_empty());
+        for interval_ms in [60, 120, 240] {
+            let takeover = Step::Takeover {
+                router,
+                interval_ms,
+            };
+            let simulation = run_steps(1, &[(Step::Wait { span_ms: 500 }, 0), (takeover, 500)]);
+            expect_that!(simulation.violations, is_empty());
         }
     }
 }
 
 #[gtest]
 fn verify_no_key_runs_twice_and_not_run_is_true() {
-    // Symptom: a payment is taken twice, or a caller is told "not run" of one that was taken.
-    // Sequence: fleet lists, restarts, pauses, partitions, losses, stale reads and clocks that
-    // differ, in any order, while callers repeat their keys through any router.
-    // Cause: whichever guard of docs/design/at-most-once.md is missing.
+    // Guards against a payment that is taken twice, or that is taken and answered with "not run",
+    // where one of the guards of docs/design/at-most-once.md is missing. Fleet lists, restarts,
+    // pauses, partitions, losses, stale reads and skewed clocks come in any order while callers
+    // repeat their keys through any router.
     let cases = std::env::var("ONCE_CASES")
         .ok()
         .and_then(|n| n.parse().ok());
@@ -336,14 +392,14 @@
         max_shrink_iters: 300,
         ..Config::default()
     };
-    let mut told = [0u64; 4];
-    let counts = std::cell::RefCell::new(&mut told);
+    let mut outcome_counts = [0u64; 4];
+    let counts = std::cell::RefCell::new(&mut outcome_counts);
     let mut runner = TestRunner::new(config);
     let steps = vec((step(), 0..1500u64), 10..60);
     let result = runner.run(&(any::<u64>(), steps), |(seed, steps)| {
-        let world = play(seed, &steps);
-        for trial in &world.trials {
-            let slot = match trial.told {
+        let simulation = run_steps(seed, &steps);
+        for request_index in &simulation.requests {
+            let slot = match request_index.reply {
                 Some((Outcome::Done, _)) => 0,
                 Some((Outcome::NotRun, _)) => 1,
                 Some((Outcome::Unknown, _)) => 2,
@@ -351,12 +407,12 @@
             };
             counts.borrow_mut()[slot] += 1;
         }
-        if world.broken.is_empty() {
+        if simulation.violations.is_empty() {
             Ok(())
         } else {
-            Err(TestCaseError::fail(world.broken.join("; ")))
+            Err(TestCaseError::fail(simulation.violations.join("; ")))
         }
     });
-    println!("done, not_run, unknown, unanswered: {told:?}");
+    println!("done, not_run, unknown, unanswered: {outcome_counts:?}");
     expect_that!(result.map_err(|e| e.to_string()), ok(anything()));
 }
--- a/crates/core/tests/once/rig.rs
+++ b/crates/core/tests/once/rig.rs
@@ -1,4 +1,5 @@
-//! Routers reduced to their homes and voters, with messages that arrive at once or not at all.
+//! Test rig of routers that are reduced to their key homes and lease voters. A message arrives at
+//! once or is lost.
 
 use std::sync::Arc;
 
@@ -42,22 +43,22 @@
     },
 };
 
-/// Length of the lease in these tests.
+/// Published lease duration.
 pub(crate) const LEASE: Millis = Millis(2000);
 
-/// Difference of wall clocks that is allowed for.
+/// Published bound on the skew between wall clocks.
 pub(crate) const SKEW: Millis = Millis(1000);
 
-/// Step in which time passes.
+/// Time step of the rig.
 pub(crate) const STEP: Millis = Millis(100);
 
-/// Where the tests' clocks start.
+/// Initial clock reading.
 pub(crate) const START: Now = Now {
     mono: Time(1_000_000),
     wall: Wall(1_800_000_000_000),
 };
 
-/// Makes a change of one transaction.
+/// Creates a configuration change of one transaction.
 pub(crate) fn change(since: u64, revision: u64, entries: &[(&str, Value)]) -> Change {
     let entry = |(key, value): &(&str, Value)| Entry {
         key: Bytes::copy_from_slice(key.as_bytes()),
@@ -72,12 +73,12 @@
     }
 }
 
-/// Makes the published list of these routers. `r3@2` is router `r3` at its second address.
+/// Creates the published list of the named routers. `r3@2` is router `r3` at its second address.
 pub(crate) fn fleet(names: &[&str]) -> Value {
     let member = |name: &&str| {
-        let (id, place) = name.split_once('@').unwrap_or((name, "1"));
+        let (id, subnet) = name.split_once('@').unwrap_or((name, "1"));
         let number: u32 = id.trim_start_matches('r').parse().unwrap();
-        let ip = format!("10.{place}.{}.{}", number / 250, number % 250);
+        let ip = format!("10.{subnet}.{}.{}", number / 250, number % 250);
         let (address, peer) = (format!("{ip}:7000"), format!("{ip}:7001"));
         let router = json!({"address": address, "peer_address": peer, "data_center": "be-north-1"});
         (id.to_owned(), router)
@@ -85,12 +86,12 @@
     Value::Object(names.iter().map(member).collect())
 }
 
-/// Makes the policy of these tests.
+/// Creates the published policy.
 pub(crate) fn policy() -> Value {
     json!({"lease_ms": LEASE.0, "clock_skew_ms": SKEW.0, "key_ttl_ms": 3_600_000})
 }
 
-/// Makes a key that a caller dates `wall`.
+/// Creates an idempotency key with the timestamp `wall`.
 pub(crate) fn key(wall: Wall, number: u64) -> Key {
     let uuid = (u128::from(wall.0) << 80) | (7 << 76) | (2 << 62) | u128::from(number);
     Key {
@@ -99,19 +100,19 @@
     }
 }
 
-/// Gets the member that is home to a key.
-pub(crate) fn home<'a>(key: Key, members: &[&'a str]) -> &'a str {
+/// Returns the name of the member that is the home of a key.
+pub(crate) fn home_of<'a>(key: Key, members: &[&'a str]) -> &'a str {
     let tag = |m: &str| Id::try_from(m).unwrap().tag();
     let score = |tag: Tag| (toucanturn_core::ids::rendezvous(key.item(), tag), tag);
     members.iter().max_by_key(|m| score(tag(m))).unwrap()
 }
 
-/// `Router` is one home and voter.
+/// `Router` holds the home and voter state of one router, with its configuration store.
 pub(crate) struct Router {
     pub(crate) name: &'static str,
     pub(crate) store: Store,
     pub(crate) home: Home,
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
 }
 
 impl Router {
@@ -120,14 +121,15 @@
     }
 }
 
-/// `Rig` is a few routers and one true time.
+/// `Rig` runs a few routers on a common clock.
 pub(crate) struct Rig {
     pub(crate) routers: Vec<Router>,
     pub(crate) now: Now,
 }
 
 impl Rig {
-    /// Makes routers that are long up, without a configuration.
+    /// Creates routers without a configuration. They started long enough ago that any promise of an
+    /// earlier incarnation has ended.
     pub(crate) fn new(names: &[&'static str]) -> Self {
         let mut rig = Self {
             routers: Vec::new(),
@@ -145,41 +147,42 @@
             name,
             store: Store::default(),
             home: Home::new(self.now, Incarnation(1)),
-            life: 1,
+            incarnation: 1,
         };
         self.routers.push(router);
     }
 
-    pub(crate) fn at(&mut self, name: &str) -> &mut Router {
+    pub(crate) fn router_mut(&mut self, name: &str) -> &mut Router {
         self.routers.iter_mut().find(|r| r.name == name).unwrap()
     }
 
-    /// Starts a fresh life that knows nothing.
+    /// Restarts a router as its next incarnation, without state or configuration.
     pub(crate) fn restart(&mut self, name: &str) {
         let now = self.now;
-        let router = self.at(name);
-        router.life += 1;
-        router.home = Home::new(now, Incarnation(router.life));
+        let router = self.router_mut(name);
+        router.incarnation += 1;
+        router.home = Home::new(now, Incarnation(router.incarnation));
         router.store = Store::default();
     }
 
-    /// Publishes a fleet at `revision`, heard by `readers` only.
+    /// Publishes a fleet at `revision`. Only `readers` receive it.
     pub(crate) fn publish(&mut self, revision: u64, members: &[&str], readers: &[&str]) {
         let now = self.now;
         for name in readers {
-            let router = self.at(name);
+            let router = self.router_mut(name);
             let entries = [("policy", policy()), ("fleet", fleet(members))];
-            let held = router.store.held().0;
-            let news = change(held, revision, &entries);
-            router.store.apply(&news).unwrap();
+            let held_revision = router.store.held().0;
+            let update = change(held_revision, revision, &entries);
+            router.store.apply(&update).unwrap();
             let config = router.config();
             let me = config.fleet.key(&Id::try_from(*name).unwrap());
             router.home.apply(now, &config, me);
         }
     }
 
-    /// Lets time pass; messages arrive at once where `link` lets them.
-    pub(crate) fn pass(&mut self, span: Millis, link: impl Fn(&str, &str) -> bool) {
+    /// Advances time by `span`. A message arrives at once if `link(from, to)` holds, and is lost
+    /// otherwise.
+    pub(crate) fn advance(&mut self, span: Millis, link: impl Fn(&str, &str) -> bool) {
         for _ in 0..span.0 / STEP.0 {
             self.now = self.now + STEP;
             for index in 0..self.routers.len() {
@@ -190,11 +193,11 @@
 
     fn tick(&mut self, index: usize, link: &impl Fn(&str, &str) -> bool) {
         let now = self.now;
-        let asker = &mut self.routers[index];
-        let config = asker.config();
-        let (name, life) = (asker.name, Incarnation(asker.life));
+        let requester = &mut self.routers[index];
+        let config = requester.config();
+        let (name, incarnation) = (requester.name, Incarnation(requester.incarnation));
         let mut asks = Vec::new();
-        asker.home.tick(now, &config, &mut asks);
+        requester.home.tick(now, &config, &mut asks);
         for (to, message) in asks {
             let Message::LeaseAsk {
                 epoch,
@@ -209,48 +212,50 @@
             let Some(voter) = found.filter(|v| link(name, v.name)) else {
                 continue;
             };
-            let theirs = voter.config();
-            let Some(from) = theirs.fleet.key(&Id::try_from(name).unwrap()) else {
+            let voter_config = voter.config();
+            let Some(from) = voter_config.fleet.key(&Id::try_from(name).unwrap()) else {
                 continue;
             };
-            let vote = voter.home.vote(now, &theirs, from, life, (epoch, lease));
-            let voter = Incarnation(voter.life);
-            let round = (theirs.epoch, round);
+            let vote = voter
+                .home
+                .vote(now, &voter_config, from, incarnation, (epoch, lease));
+            let voter = Incarnation(voter.incarnation);
+            let round = (voter_config.epoch, round);
             self.routers[index]
                 .home
                 .record_vote(now, to, voter, round, vote);
         }
     }
 
-    /// Lists the routers that hold their lease.
+    /// Returns the names of the routers that hold a lease.
     pub(crate) fn holders(&self) -> Vec<&'static str> {
         let held = |r: &&Router| r.home.holds_lease(self.now);
         self.routers.iter().filter(held).map(|r| r.name).collect()
     }
 
-    /// Makes a key of this date whose home is `name` under every one of the fleets.
-    pub(crate) fn key_of(&self, name: &str, wall: Wall, fleets: &[&[&str]]) -> Key {
-        let fits = |key: &Key| fleets.iter().all(|members| home(*key, members) == name);
+    /// Creates a key with the timestamp `wall` whose home is `name` in each of `fleets`.
+    pub(crate) fn key_with_home(&self, name: &str, wall: Wall, fleets: &[&[&str]]) -> Key {
+        let has_home = |key: &Key| fleets.iter().all(|members| home_of(*key, members) == name);
         let mut keys = (0..).map(|number| key(wall, number));
-        keys.find(fits).unwrap()
+        keys.find(has_home).unwrap()
     }
 
-    /// Asks a router to begin a call.
+    /// Begins a call with `key` at a router.
     pub(crate) fn begin(&mut self, name: &str, key: Key, content: u64) -> KeyDecision {
         let now = self.now;
-        let router = self.at(name);
+        let router = self.router_mut(name);
         let config = router.config();
         router.home.begin(now, &config, Call(1), key, content)
     }
 }
 
-/// Lets every message through.
-pub(crate) fn open(_: &str, _: &str) -> bool {
+/// A link function that delivers every message.
+pub(crate) fn all_links_up(_: &str, _: &str) -> bool {
     true
 }
 
-/// Makes the answer of a voter that confirms.
-pub(crate) const fn yes() -> Vote {
+/// Creates the vote of a voter that confirms a lease.
+pub(crate) const fn confirming_vote() -> Vote {
     Vote {
         confirmed: true,
         previous: Revision(0),
--- a/crates/core/tests/once/world/driver.rs
+++ b/crates/core/tests/once/simulation/driver.rs
@@ -1,4 +1,4 @@
-//! The driver of each router: what becomes of its actions.
+//! Simulated driver of each router: executes the actions of its node.
 
 use rand::RngExt;
 use toucanturn_core::{
@@ -27,34 +27,34 @@
 };
 
 use super::{
-    Back,
     Fault,
     Job,
     NAMES,
-    World, //
+    ReplyTo,
+    Simulation, //
 };
 
-const WATCH: u64 = 500;
-const IDLE: u64 = 5000;
+const WATCH_RETRY_MS: u64 = 500;
+const IDLE_TIMEOUT_MS: u64 = 5000;
 
-impl World {
-    pub(super) fn work(&mut self, index: usize, job: Job) {
+impl Simulation {
+    pub(super) fn run_job(&mut self, index: usize, job: Job) {
         match job {
             Job::Tick => {
-                self.push(TICK.0, index, Job::Tick);
+                self.schedule(TICK.0, index, Job::Tick);
                 self.handle(index, Event::Tick);
             }
             Job::Event(event) => self.handle(index, *event),
             Job::Peer {
                 from,
-                life,
+                incarnation,
                 message,
             } => {
                 let node = &self.processes[index].node;
                 let Some(from) = node.config().fleet.key(&Id::try_from(from).unwrap()) else {
                     return;
                 };
-                let incarnation = Incarnation(life);
+                let incarnation = Incarnation(incarnation);
                 let event = Event::Peer {
                     from,
                     incarnation,
@@ -65,22 +65,22 @@
             Job::Forward {
                 from,
                 call,
-                trial,
-                left,
+                request_index,
+                remaining_ms,
             } => {
                 let sender = Id::try_from(self.processes[from].name).unwrap();
                 let Some(peer) = self.processes[index].node.config().fleet.key(&sender) else {
                     return;
                 };
-                let own = self.call(index);
-                let back = Back::Entry {
+                let own_call = self.next_call(index);
+                let reply_to = ReplyTo::EntryRouter {
                     process: from,
                     call,
-                    trial,
+                    request_index,
                 };
-                self.backs.insert((index, own), back);
-                let key = self.trials[trial].key;
-                let event = self.request(index, own, key, Origin::Peer(peer), left);
+                self.reply_targets.insert((index, own_call), reply_to);
+                let key = self.requests[request_index].key;
+                let event = self.request(index, own_call, key, Origin::Peer(peer), remaining_ms);
                 self.handle(index, event);
             }
             Job::Write {
@@ -96,11 +96,11 @@
         let mut out = Vec::new();
         self.processes[index].node.handle(now, event, &mut out);
         for action in out {
-            self.act(index, action);
+            self.execute_action(index, action);
         }
     }
 
-    pub(super) fn act(&mut self, index: usize, action: Action) {
+    pub(super) fn execute_action(&mut self, index: usize, action: Action) {
         match action {
             Action::Dispatch {
                 call,
@@ -109,11 +109,12 @@
                 ..
             } => {
                 if not_after.is_none() {
-                    self.broken.push(format!("{call:?} is sent without an end"));
+                    self.violations
+                        .push(format!("{call:?} is dispatched without a send deadline"));
                 }
-                let delay = self.rng.random_range(0..20);
-                self.push(
-                    delay,
+                let delay_ms = self.rng.random_range(0..20);
+                self.schedule(
+                    delay_ms,
                     index,
                     Job::Write {
                         call,
@@ -127,30 +128,30 @@
                 router,
                 deadline,
             } => {
-                if let Some(Back::Entry { .. }) = self.backs.get(&(index, call)) {
-                    self.broken.push(format!("{call:?} is passed on twice"));
+                if let Some(ReplyTo::EntryRouter { .. }) = self.reply_targets.get(&(index, call)) {
+                    self.violations.push(format!("{call:?} is forwarded twice"));
                 }
-                let left = deadline.since(self.clock(index).mono).0;
+                let remaining_ms = deadline.since(self.clock(index).mono).0;
                 let failed = Event::ForwardFailed { call, sent: true };
-                self.push(left, index, Job::Event(Box::new(failed)));
-                let trial = self.trial(index, call);
+                self.schedule(remaining_ms, index, Job::Event(Box::new(failed)));
+                let request_index = self.request_index(index, call);
                 let job = Job::Forward {
                     from: index,
                     call,
-                    trial,
-                    left,
+                    request_index,
+                    remaining_ms,
                 };
                 let config = self.processes[index].node.config();
                 let to = config.fleet.get(router).map(|r| r.id.to_string());
-                self.post(index, &to.unwrap_or_default(), job);
+                self.send_to_router(index, &to.unwrap_or_default(), job);
             }
-            Action::Refuse { call, refusal } => self.answer(index, call, Some(refusal)),
+            Action::Refuse { call, refusal } => self.deliver_reply(index, call, Some(refusal)),
             Action::Replay { call, .. } | Action::Finish { call, .. } => {
-                self.answer(index, call, None);
+                self.deliver_reply(index, call, None);
             }
             Action::Send { router, message } => {
                 let process = &self.processes[index];
-                let (from, life) = (process.name, process.life);
+                let (from, incarnation) = (process.name, process.incarnation);
                 let to = process
                     .node
                     .config()
@@ -159,59 +160,67 @@
                     .map(|r| r.id.to_string());
                 let job = Job::Peer {
                     from,
-                    life,
+                    incarnation,
                     message,
                 };
-                self.post(index, &to.unwrap_or_default(), job);
+                self.send_to_router(index, &to.unwrap_or_default(), job);
+            }
+            Action::Watch { since } => self.answer_watch(index, since),
+            Action::Poll { endpoint } | Action::Probe { endpoint } => {
+                self.answer_poll(index, endpoint)
             }
-            Action::Watch { since } => self.watch(index, since),
-            Action::Poll { endpoint } | Action::Probe { endpoint } => self.polled(index, endpoint),
             _ => {}
         }
     }
 
-    /// The service itself is well and stays: what fails here are routers and the way to them.
-    fn polled(&mut self, index: usize, endpoint: EndpointKey) {
-        let delay = self.latency();
+    /// Answers a poll or probe as a healthy endpoint that stays: only routers and the network
+    /// between them fail here.
+    fn answer_poll(&mut self, index: usize, endpoint: EndpointKey) {
+        let delay_ms = self.latency();
         let report = Some(Report::default());
         let event = Event::Polled { endpoint, report };
-        self.push(delay, index, Job::Event(Box::new(event)));
+        self.schedule(delay_ms, index, Job::Event(Box::new(event)));
     }
 
-    pub(super) fn watch(&mut self, index: usize, since: Revision) {
-        let serves = self.serves[self.processes[index].name].min(self.revision());
-        if serves <= since.0 {
-            return self.push(WATCH, index, Job::Event(Box::new(Event::ReadFailed)));
+    pub(super) fn answer_watch(&mut self, index: usize, since: Revision) {
+        let newest = self.served_revisions[self.processes[index].name].min(self.revision());
+        if newest <= since.0 {
+            return self.schedule(
+                WATCH_RETRY_MS,
+                index,
+                Job::Event(Box::new(Event::ReadFailed)),
+            );
         }
-        let newer = |c: &&Change| c.revision > since && c.revision.0 <= serves;
-        let parts = self.history.iter().filter(newer);
+        let newer = |c: &&Change| c.revision > since && c.revision.0 <= newest;
+        let changes = self.history.iter().filter(newer);
         let change = Change {
             since,
-            revision: Revision(serves),
-            entries: parts.flat_map(|c| c.entries.clone()).collect(),
+            revision: Revision(newest),
+            entries: changes.flat_map(|c| c.entries.clone()).collect(),
             floor: None,
         };
         let source = Source::Service;
-        let delay = self.latency();
+        let delay_ms = self.latency();
         let event = Event::Publish { source, change };
-        self.push(delay, index, Job::Event(Box::new(event)));
+        self.schedule(delay_ms, index, Job::Event(Box::new(event)));
     }
 
-    /// Sends something to another router, if it gets there.
-    pub(super) fn post(&mut self, from: usize, to: &str, job: Job) {
+    /// Sends a job to another router, unless a partition, a loss or the replacement of the sender
+    /// prevents it.
+    pub(super) fn send_to_router(&mut self, from: usize, to: &str, job: Job) {
         let name = self.processes[from].name;
-        let apart = self.groups.get(to) != self.groups.get(name);
-        let lost = self.rng.random_range(0..1000) < self.loss;
-        let heard = self.processes[from].reachable;
-        if apart || lost || !heard || !NAMES.contains(&to) {
+        let partitioned = self.partition_groups.get(to) != self.partition_groups.get(name);
+        let lost = self.rng.random_range(0..1000) < self.loss_permille;
+        let reachable = self.processes[from].reachable;
+        if partitioned || lost || !reachable || !NAMES.contains(&to) {
             return;
         }
-        let delay = self.latency();
-        let to = self.current(to);
-        self.push(delay, to, job);
+        let delay_ms = self.latency();
+        let to = self.current_process(to);
+        self.schedule(delay_ms, to, job);
     }
 
-    /// Writes an attempt's bytes, unless the clock says that it is too late.
+    /// Writes an attempt to its endpoint, unless the router's clock has reached `not_after`.
     pub(super) fn write(
         &mut self,
         index: usize,
@@ -223,18 +232,18 @@
         let end = if late || self.fault == Fault::Refuse {
             End::NotSent { leaving: false }
         } else {
-            self.ran(index, call);
+            self.record_run(index, call);
             match self.fault {
                 Fault::Break | Fault::Silent => End::Broken { relayed: false },
                 Fault::Error => End::Failed(Answer::default()),
                 _ => End::Whole(Answer::default()),
             }
         };
-        let mut delay = self.rng.random_range(1..400);
+        let mut delay_ms = self.rng.random_range(1..400);
         if self.fault == Fault::Silent {
-            delay += IDLE;
+            delay_ms += IDLE_TIMEOUT_MS;
         }
         let ended = Event::Ended { call, attempt, end };
-        self.push(delay, index, Job::Event(Box::new(ended)));
+        self.schedule(delay_ms, index, Job::Event(Box::new(ended)));
     }
 }
