--- a/crates/core/tests/node/fixture.rs
+++ b/crates/core/tests/node/fixture.rs
@@ -1,4 +1,4 @@
-//! A node with a fleet of a size, and one service.
+//! Fixture: a node with a fleet of a given size and one service.
 
 use bytes::Bytes;
 use serde_json::{
@@ -43,11 +43,11 @@
     }
 }
 
-fn change(routers: usize, readers: u32) -> Change {
+fn initial_change(routers: usize, readers: u32) -> Change {
     let router = |n: usize| {
-        let about = json!({"address": format!("10.0.0.{n}:80"), "data_center": "be-north-1",
+        let published = json!({"address": format!("10.0.0.{n}:80"), "data_center": "be-north-1",
             "peer_address": format!("10.0.0.{n}:81")});
-        (format!("r{n}"), about)
+        (format!("r{n}"), published)
     };
     let fleet: Map<String, Value> = (1..=routers).map(router).collect();
     let workspace = json!({"key_sha256": ["0".repeat(64)], "priority": 5, "requests_per_s": 100,
@@ -73,7 +73,8 @@
     }
 }
 
-/// Makes a router that has just put the configuration of `routers` routers in force.
+/// Creates the node of router `name` that has just applied a configuration of `routers` routers,
+/// with `readers` as `config_readers`.
 pub(crate) fn node(name: &str, routers: usize, readers: u32, out: &mut Vec<Action>) -> Node {
     let options = Options {
         id: Id::try_from(name).unwrap(),
@@ -83,7 +84,7 @@
     let mut node = Node::new(options, NOW);
     node.handle(NOW, Event::Tick, out);
     let source = Source::Service;
-    let change = change(routers, readers);
+    let change = initial_change(routers, readers);
     node.handle(NOW, Event::Publish { source, change }, out);
     node
 }
--- a/crates/core/tests/node/forward.rs
+++ b/crates/core/tests/node/forward.rs
@@ -1,4 +1,4 @@
-//! Calls that an entry router forwards to their home.
+//! Tests of calls that an entry router forwards to the home of their key.
 
 use googletest::prelude::*;
 use toucanturn_core::{
@@ -23,17 +23,17 @@
     node, //
 };
 
-/// Makes router `r1` of two, and a key whose home is `r2`.
+/// Creates router `r1` of two, and a key whose home is `r2`.
 fn entry_router(out: &mut Vec<Action>) -> (Node, Key) {
     let node = node("r1", 2, 7, out);
     let config = node.config();
     let workspace = Id::try_from("shop").unwrap().tag();
-    let dated = |n: u128| Key {
+    let current_key = |n: u128| Key {
         workspace,
         uuid: u128::from(NOW.wall.0) << 80 | n,
     };
-    let elsewhere = |key: &Key| config.home(key.item()) != node.me();
-    let key = (0..).map(dated).find(elsewhere).unwrap();
+    let has_other_home = |key: &Key| config.home(key.item()) != node.me();
+    let key = (0..).map(current_key).find(has_other_home).unwrap();
     (node, key)
 }
 
@@ -60,17 +60,16 @@
 
 #[gtest]
 fn verify_the_outcome_of_the_home_reaches_the_caller() {
-    // Symptom: a caller reads "done" beside a service's error 500, and never asks again.
-    // Sequence: the entry router forwards an order; the service answers 500 at the home, which
-    // says "unknown".
-    // Cause: the home's reply carried its answer to the entry router's node without its outcome.
+    // Guards against a caller that reads "done" beside an error 500 of a service and never asks
+    // again: the entry router forwards an order, the service answers 500 at the home, which reports
+    // "unknown", and the reply reaches the entry node without its outcome.
     let mut out = Vec::new();
     let (mut node, key) = entry_router(&mut out);
     let call = Call(1);
     let request = request(&node, key);
     out.clear();
     node.handle(NOW, Event::Request { call, request }, &mut out);
-    // The grant of the limit's home does not come; the static share decides.
+    // The home of the workspace's limit grants nothing, so the static share of the limit decides.
     let mut now = NOW;
     for _ in 0..10 {
         now = now + Millis(50);
--- a/crates/core/tests/node/main.rs
+++ b/crates/core/tests/node/main.rs
@@ -1,4 +1,4 @@
-//! Whole nodes, each alone with events made by hand.
+//! Tests of a complete node that receives events directly, without a driver or peers.
 
 #![expect(clippy::unwrap_used, reason = "a fixture that fails ends its test")]
 
--- a/crates/core/tests/node/polls.rs
+++ b/crates/core/tests/node/polls.rs
@@ -1,4 +1,4 @@
-//! Polls of endpoints that are well, beside probes of many that are lost.
+//! Tests of polls of reachable endpoints while many unreachable ones are probed.
 
 use googletest::prelude::*;
 use serde_json::json;
@@ -34,36 +34,37 @@
     node, //
 };
 
-const NEAR: usize = 10;
-const FAR: usize = 400;
+const NEAR_ENDPOINTS: usize = 10;
+const FAR_ENDPOINTS: usize = 400;
 
-/// Publishes `NEAR` endpoints of the own region, `FAR` of another, and a router in each.
+/// Publishes `NEAR_ENDPOINTS` endpoints in the node's region, `FAR_ENDPOINTS` in another, and a
+/// router in each.
 fn publish(node: &mut Node) {
-    let router = |n: u8, place: &str| {
+    let router = |n: u8, data_center: &str| {
         json!({"address": format!("10.0.0.{n}:80"), "peer_address": format!("10.0.0.{n}:81"),
-            "data_center": place})
+            "data_center": data_center})
     };
-    let places = json!({"be-north-1": "be-north", "cz-central-1": "cz-central"});
+    let data_centers = json!({"be-north-1": "be-north", "cz-central-1": "cz-central"});
     let fleet = json!({"r1": router(1, "be-north-1"), "r2": router(2, "cz-central-1")});
     let endpoint = |kind: &str, n: usize| {
         let (high, low) = (n / 200, n % 200 + 1);
         let third = if kind == "near" { 100 } else { 110 + high };
-        let place = if kind == "near" {
+        let data_center = if kind == "near" {
             "be-north-1"
         } else {
             "cz-central-1"
         };
-        let about = json!({"kind": "service", "address": format!("10.1.{third}.{low}:80"),
-            "data_center": place, "service": "orders"});
-        entry(&format!("endpoints/{kind}-{n}"), 2, about)
+        let published = json!({"kind": "service", "address": format!("10.1.{third}.{low}:80"),
+            "data_center": data_center, "service": "orders"});
+        entry(&format!("endpoints/{kind}-{n}"), 2, published)
     };
-    let near = (0..NEAR).map(|n| endpoint("near", n));
-    let rules = [
-        entry("policy", 2, json!({"data_centers": places})),
+    let near = (0..NEAR_ENDPOINTS).map(|n| endpoint("near", n));
+    let settings = [
+        entry("policy", 2, json!({"data_centers": data_centers})),
         entry("fleet", 2, fleet),
     ];
-    let far = (0..FAR).map(|n| endpoint("far", n));
-    let entries = rules.into_iter().chain(near).chain(far).collect();
+    let far = (0..FAR_ENDPOINTS).map(|n| endpoint("far", n));
+    let entries = settings.into_iter().chain(near).chain(far).collect();
     let change = Change {
         since: Revision(1),
         revision: Revision(2),
@@ -80,8 +81,8 @@
     found.is_some_and(|e| e.id.as_str().starts_with("near"))
 }
 
-/// Has the other region's router tell once that its endpoints are well.
-fn hear(node: &mut Node) {
+/// Delivers one summary in which the other region's router reports all of its endpoints as reached.
+fn deliver_far_summary(node: &mut Node) {
     let config = node.config();
     let far = config
         .endpoints
@@ -112,13 +113,12 @@
 
 #[gtest]
 fn verify_lost_endpoints_take_no_polls_from_those_that_are_well() {
-    // Symptom: a region's engines get no work while another region is cut off.
-    // Sequence: hundreds of endpoints are down and probed again and again; polls and probes share
-    // one bound.
-    // Cause: probes came first, so polls waited, and what is not polled counts as not sure to stay.
+    // Guards against a region's engines that get no work while another region is cut off: hundreds
+    // of endpoints are down and probed again and again, polls and probes share one limit, probes
+    // come first, and an endpoint that is not polled no longer counts as confirmed.
     let mut node = node("r1", 1, 7, &mut Vec::new());
     publish(&mut node);
-    hear(&mut node);
+    deliver_far_summary(&mut node);
     let mut now = NOW;
     while now.mono < NOW.mono + Millis::from_secs(60) {
         now = now + TICK;
@@ -150,5 +150,5 @@
         .iter()
         .map(state)
         .filter(|s| *s == State::Live);
-    expect_that!(live.count(), eq(NEAR));
+    expect_that!(live.count(), eq(NEAR_ENDPOINTS));
 }
