--- a/crates/core/tests/membership/fixture.rs
+++ b/crates/core/tests/membership/fixture.rs
@@ -1,4 +1,4 @@
-//! A small fleet for the tests of membership.
+//! Fixture: a small fleet for the tests of membership.
 #![expect(clippy::expect_used, reason = "a wrong name is a fault of the test")]
 
 use std::sync::Arc;
@@ -55,56 +55,56 @@
     }
 }
 
-/// Makes a configuration of endpoints and routers in one data centre.
+/// Creates a configuration of endpoints and routers in one data centre.
 pub(crate) fn config(endpoints: u16, routers: u16) -> Config {
     let mut config = Config::default();
     for n in 0..endpoints {
-        let one = endpoint(n, "dc-1");
-        let name = one.id.clone();
-        config.endpoints.put(&name, Arc::new(one));
+        let member = endpoint(n, "dc-1");
+        let name = member.id.clone();
+        config.endpoints.put(&name, Arc::new(member));
     }
     for n in 0..routers {
-        let one = router(n, "dc-1");
-        let name = one.id.clone();
-        config.fleet.put(&name, Arc::new(one));
+        let member = router(n, "dc-1");
+        let name = member.id.clone();
+        config.fleet.put(&name, Arc::new(member));
     }
     config
 }
 
-/// Makes a view of `endpoints` endpoints, each in its first life and known to be live at `now`.
+/// Creates a view of `endpoints` endpoints, each in incarnation 1 and confirmed as live at `now`.
 pub(crate) fn view(now: Time, endpoints: u16) -> (View, Vec<EndpointKey>) {
     let config = config(endpoints, 3);
     let mut view = View::default();
     view.apply(now, &config);
     let keys: Vec<_> = config.endpoints.iter().map(|(key, _)| key).collect();
     for key in &keys {
-        view.self_report(now, *key, fresh(now, 1));
+        view.self_report(now, *key, poll_answer_sent_at(now, 1));
     }
     (view, keys)
 }
 
-/// Makes the answer to the poll that is out, of a life that isn't leaving.
-pub(crate) fn self_report(life: u64) -> SelfReport {
+/// Creates the answer to the outstanding poll from an incarnation that isn't leaving.
+pub(crate) fn poll_answer(incarnation: u64) -> SelfReport {
     SelfReport {
-        life: Some(Incarnation(life)),
+        life: Some(Incarnation(incarnation)),
         leaving: false,
         seen: Observation::Reached,
         since: None,
     }
 }
 
-/// Makes the answer to a poll that was sent at `now`.
-pub(crate) fn fresh(now: Time, life: u64) -> SelfReport {
+/// Creates the answer to a poll that was sent at `now`, from an incarnation that isn't leaving.
+pub(crate) fn poll_answer_sent_at(now: Time, incarnation: u64) -> SelfReport {
     SelfReport {
         since: Some(now),
-        ..self_report(life)
+        ..poll_answer(incarnation)
     }
 }
 
-/// Makes the answer to a poll of a life that is leaving.
-pub(crate) fn farewell(life: u64) -> SelfReport {
+/// Creates the answer to the outstanding poll from an incarnation that is leaving.
+pub(crate) fn leaving_poll_answer(incarnation: u64) -> SelfReport {
     SelfReport {
         leaving: true,
-        ..self_report(life)
+        ..poll_answer(incarnation)
     }
 }
--- a/crates/core/tests/membership/rig.rs
+++ b/crates/core/tests/membership/rig.rs
@@ -1,4 +1,4 @@
-//! One whole node with three engines, for the tests of retries and of wake-ups.
+//! Fixture: a complete node with three engines, for the tests of retries and of pauses.
 #![expect(
     clippy::unwrap_used,
     reason = "a wrong configuration is a fault of the test"
@@ -41,7 +41,8 @@
     wall: Wall(1_800_000_000_000),
 };
 
-/// Makes a node with three engines, and a chat for them.
+/// Creates a node with three engines, and a chat request. `budget` is the retry budget; `limit` is
+/// the request rate per second and the burst of the workspace.
 pub(crate) fn node(budget: f64, limit: u32) -> (Node, Request) {
     let router = |n| json!({"address": format!("10.0.0.{n}:80"), "peer_address": format!("10.0.0.{n}:81"), "data_center": "be-north-1"});
     let engine = |n| json!({"kind": "engine", "address": format!("10.0.1.{n}:80"), "data_center": "be-north-1", "models": ["assistant"], "capacity": 4096});
--- a/crates/core/tests/membership_node.rs
+++ b/crates/core/tests/membership_node.rs
@@ -1,4 +1,4 @@
-//! A whole node that wakes up late.
+//! Tests of a complete node after its process was paused.
 
 use googletest::prelude::*;
 use toucanturn_core::{
@@ -39,23 +39,24 @@
     Event::Polled { endpoint, report }
 }
 
-/// Lets one tick pass and answers the polls it sends, as `leaves` says; `None`: no answer.
+/// Ticks the node and answers the polls that it sends. `leaves` returns whether an endpoint reports
+/// that it is leaving, or `None` for no answer.
 fn tick(node: &mut Node, now: Now, leaves: impl Fn(EndpointKey) -> Option<bool>) -> Vec<Action> {
     let mut out = Vec::new();
     node.handle(now, Event::Tick, &mut out);
-    let mut done = Vec::new();
+    let mut actions = Vec::new();
     for action in out {
         if let Action::Poll { endpoint } = action
             && let Some(leaving) = leaves(endpoint)
         {
-            node.handle(now, polled(endpoint, leaving), &mut done);
+            node.handle(now, polled(endpoint, leaving), &mut actions);
         }
-        done.push(action);
+        actions.push(action);
     }
-    done
+    actions
 }
 
-fn chats(node: &mut Node, now: Now, request: &Request, out: &mut Vec<Action>) {
+fn send_chats(node: &mut Node, now: Now, request: &Request, out: &mut Vec<Action>) {
     for n in 0..100 {
         let mut request = request.clone();
         request.deadline = now.mono + Millis(5000);
@@ -67,7 +68,7 @@
     }
 }
 
-fn targets(actions: &[Action]) -> Vec<EndpointKey> {
+fn dispatch_targets(actions: &[Action]) -> Vec<EndpointKey> {
     let target = |action: &Action| match action {
         Action::Dispatch { endpoint, .. } => Some(*endpoint),
         _ => None,
@@ -75,51 +76,55 @@
     actions.iter().filter_map(target).collect()
 }
 
-/// Makes a node that ran for a second and then slept for ten.
-fn woken() -> (Node, Request, Now, EndpointKey) {
+/// Creates a node that ran for a second and was then paused for ten. The returned endpoint is the
+/// one that is to leave.
+fn node_after_a_pause() -> (Node, Request, Now, EndpointKey) {
     let (mut node, request) = node(0.1, 1000);
     let mut now = START;
     for _ in 0..20 {
         now = now + TICK;
         tick(&mut node, now, |_| Some(false));
     }
-    let gone = node.config().endpoints.iter().next();
-    let gone = gone.map(|(key, _)| key).unwrap_or_default();
-    (node, request, now + Millis(10_000), gone)
+    let leaving_endpoint = node.config().endpoints.iter().next();
+    let leaving_endpoint = leaving_endpoint.map(|(key, _)| key).unwrap_or_default();
+    (node, request, now + Millis(10_000), leaving_endpoint)
 }
 
 #[googletest::test]
-fn verify_woken_node_asks_before_it_sends_and_keeps_calls_waiting() {
-    // Symptom: chats went to an engine that had begun to leave while the router slept. Sequence:
-    // it wakes, reads requests and a poll's answer that waited, and places them by its old view.
-    // Cause: nothing compared the age of the view with the clock.
-    let (mut node, request, mut now, gone) = woken();
+fn verify_node_polls_before_it_dispatches_and_queues_calls_after_a_pause() {
+    // Guards against chats at an engine that began to leave while the router was paused: the router
+    // resumes, reads requests and a poll answer that were waiting, and places the chats by a view
+    // whose age is not compared with the clock.
+    let (mut node, request, mut now, leaving_endpoint) = node_after_a_pause();
     let mut out = Vec::new();
-    chats(&mut node, now, &request, &mut out);
-    node.handle(now, polled(gone, false), &mut out);
+    send_chats(&mut node, now, &request, &mut out);
+    node.handle(now, polled(leaving_endpoint, false), &mut out);
     out.extend(tick(&mut node, now, |_| Some(false)));
-    expect_that!(targets(&out), is_empty());
-    let woke = now;
-    while targets(&out).is_empty() && now.mono.since(woke.mono) < Millis(1000) {
+    expect_that!(dispatch_targets(&out), is_empty());
+    let resumed = now;
+    while dispatch_targets(&out).is_empty() && now.mono.since(resumed.mono) < Millis(1000) {
         now = now + TICK;
-        out.extend(tick(&mut node, now, |key| Some(key == gone)));
+        out.extend(tick(&mut node, now, |key| Some(key == leaving_endpoint)));
     }
-    println!("{} ms until work goes on", now.mono.since(woke.mono).0);
-    expect_that!(now.mono.since(woke.mono), le(wake::SETTLE_TIME + TICK));
-    expect_that!(targets(&out), len(eq(100)));
-    expect_that!(targets(&out), not(contains(eq(&gone))));
+    println!(
+        "{} ms from resuming to the first dispatch",
+        now.mono.since(resumed.mono).0
+    );
+    expect_that!(now.mono.since(resumed.mono), le(wake::SETTLE_TIME + TICK));
+    expect_that!(dispatch_targets(&out), len(eq(100)));
+    expect_that!(dispatch_targets(&out), not(contains(eq(&leaving_endpoint))));
 }
 
 #[googletest::test]
-fn verify_woken_node_that_reaches_nobody_refuses_soon_and_truly() {
-    let (mut node, request, mut now, _) = woken();
+fn verify_node_that_reaches_no_endpoint_after_a_pause_refuses_calls_as_not_run() {
+    let (mut node, request, mut now, _) = node_after_a_pause();
     let mut out = Vec::new();
-    chats(&mut node, now, &request, &mut out);
+    send_chats(&mut node, now, &request, &mut out);
     for _ in 0..20 {
         now = now + TICK;
         out.extend(tick(&mut node, now, |_| None));
     }
-    expect_that!(targets(&out), is_empty());
+    expect_that!(dispatch_targets(&out), is_empty());
     let refused = |action: &&Action| {
         matches!(action, Action::Refuse { refusal, .. }
             if refusal.code == Code::NoEndpoint && refusal.outcome == Outcome::NotRun)
--- a/crates/core/tests/membership_random.rs
+++ b/crates/core/tests/membership_random.rs
@@ -1,4 +1,4 @@
-//! Observations in any order.
+//! Property test of the view under observations in any order.
 
 use std::collections::BTreeSet;
 
@@ -38,12 +38,12 @@
 /// `Step` is one observation of an endpoint.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Poll { life: u64, leaving: bool },
-    PeerLeaving { life: u64 },
-    PeerReport { life: u64 },
+    Poll { incarnation: u64, leaving: bool },
+    PeerLeaving { incarnation: u64 },
+    PeerReport { incarnation: u64 },
     Health(Observation),
-    List { age: u64, state: Option<VmState> },
-    Pause { span: u64 },
+    List { age_ms: u64, state: Option<VmState> },
+    Pause { span_ms: u64 },
 }
 
 fn step() -> impl Strategy<Value = (u64, usize, Step)> {
@@ -62,63 +62,69 @@
     ];
     let kind = prop_oneof![
         3 => (1..4u64, prop::bool::weighted(0.2))
-            .prop_map(|(life, leaving)| Step::Poll { life, leaving }),
-        1 => (1..4u64).prop_map(|life| Step::PeerLeaving { life }),
-        2 => (1..4u64).prop_map(|life| Step::PeerReport { life }),
+            .prop_map(|(incarnation, leaving)| Step::Poll { incarnation, leaving }),
+        1 => (1..4u64).prop_map(|incarnation| Step::PeerLeaving { incarnation }),
+        2 => (1..4u64).prop_map(|incarnation| Step::PeerReport { incarnation }),
         4 => health.prop_map(Step::Health),
-        2 => (0..8000u64, listed).prop_map(|(age, state)| Step::List { age, state }),
-        1 => (400..20_000u64).prop_map(|span| Step::Pause { span }),
+        2 => (0..8000u64, listed).prop_map(|(age_ms, state)| Step::List { age_ms, state }),
+        1 => (400..20_000u64).prop_map(|span_ms| Step::Pause { span_ms }),
     ];
     (0..300u64, 0..usize::from(ENDPOINTS), kind)
 }
 
-fn play(steps: &[(u64, usize, Step)]) -> std::result::Result<(), String> {
+fn run_steps(steps: &[(u64, usize, Step)]) -> std::result::Result<(), String> {
     let (mut view, keys) = view(START, ENDPOINTS);
     let mut now = START;
-    let mut left = BTreeSet::new();
-    let mut lives = vec![Incarnation(1); keys.len()];
+    let mut departed = BTreeSet::new();
+    let mut last_incarnations = vec![Incarnation(1); keys.len()];
     for (wait, n, step) in steps {
         let key = keys[*n];
         now = now + Millis(*wait);
-        if let Step::Pause { span } = step {
-            now = now + Millis(*span);
+        if let Step::Pause { span_ms } = step {
+            now = now + Millis(*span_ms);
         }
         view.advance(now);
         match *step {
-            Step::Poll { life, leaving } => {
+            Step::Poll {
+                incarnation,
+                leaving,
+            } => {
                 view.asked(now, key);
-                let self_report = if leaving {
-                    farewell(life)
+                let report = if leaving {
+                    leaving_poll_answer(incarnation)
                 } else {
-                    self_report(life)
+                    poll_answer(incarnation)
                 };
-                view.self_report(now, key, self_report);
+                view.self_report(now, key, report);
             }
-            Step::PeerLeaving { life } => {
-                view.leaving(now, key, Incarnation(life));
+            Step::PeerLeaving { incarnation } => {
+                view.leaving(now, key, Incarnation(incarnation));
             }
-            Step::PeerReport { life } => {
-                view.reported(now, key, Incarnation(life), Millis(200));
+            Step::PeerReport { incarnation } => {
+                view.reported(now, key, Incarnation(incarnation), Millis(200));
             }
             Step::Health(seen) => {
                 view.seen(now, key, seen);
             }
-            Step::List { age, state } => {
+            Step::List { age_ms, state } => {
                 let vms: Vec<_> = state.map(|s| (key, s)).into_iter().collect();
-                view.listed(now, Millis(age), &vms);
+                view.listed(now, Millis(age_ms), &vms);
             }
             Step::Pause { .. } => {}
         }
-        left.extend(view.all_leaving());
+        departed.extend(view.all_leaving());
         for (n, key) in keys.iter().enumerate() {
-            let life = view.incarnation(*key);
+            let incarnation = view.incarnation(*key);
             let state = view.state(now, *key);
-            if life < lives[n] {
-                return Err(format!("life went back from {:?} to {life:?}", lives[n]));
+            if incarnation < last_incarnations[n] {
+                return Err(format!(
+                    "incarnation went back from {:?} to {incarnation:?}",
+                    last_incarnations[n]
+                ));
             }
-            lives[n] = life;
-            if left.contains(&(*key, life)) && state != State::Leaving {
-                return Err(format!("{life:?} left and is {state}"));
+            last_incarnations[n] = incarnation;
+            if departed.contains(&(*key, incarnation)) && state != State::Leaving {
+                return Err(format!("{incarnation:?} was leaving and is {state}"));
             }
             let usable = matches!(state, State::Live | State::Suspect);
             let old = view
@@ -126,22 +132,23 @@
                 .is_some_and(|t| now.since(t) > MAX_CONFIRMATION_AGE);
             if usable && old {
                 return Err(format!(
-                    "{life:?} is {state} by news of {:?}",
+                    "{incarnation:?} is {state}, last confirmed at {:?}",
                     view.last_confirmed(*key)
                 ));
             }
         }
         if view.len() != keys.len() {
-            return Err(format!("{} endpoints held", view.len()));
+            return Err(format!("{} endpoints in the view", view.len()));
         }
     }
-    // Whatever happened, a next life that works is trusted again within the damping's bound.
+    // After any sequence, a next incarnation that works becomes live again within the damping's
+    // bound.
     for _ in 0..1300 {
         now = now + Millis(50);
         view.advance(now);
         for key in &keys {
             view.asked(now, *key);
-            view.self_report(now, *key, self_report(9));
+            view.self_report(now, *key, poll_answer(9));
             view.listed(
                 now,
                 Millis(0),
@@ -149,18 +156,21 @@
             );
         }
     }
-    let lost = keys
+    let not_live = keys
         .iter()
         .find(|key| view.state(now, **key) != State::Live);
-    lost.map_or(Ok(()), |key| {
-        Err(format!("lost: {}", view.state(now, *key)))
+    not_live.map_or(Ok(()), |key| {
+        Err(format!(
+            "endpoint did not become live again: {}",
+            view.state(now, *key)
+        ))
     })
 }
 
 #[googletest::test]
-fn verify_any_order_of_observations_keeps_the_promises_of_the_view() {
-    // Symptom: a leaving engine got work, or a flapping one never again. Sequence: any. Cause:
-    // two kinds of news that each look right alone.
+fn verify_any_order_of_observations_keeps_the_invariants_of_the_view() {
+    // Guards against work at a leaving engine, and against a flapping engine that never gets work
+    // again: two kinds of observation that are each handled correctly alone conflict in some order.
     let runs = Runs {
         cases: 400,
         rng_algorithm: RngAlgorithm::ChaCha,
@@ -169,7 +179,7 @@
         ..Runs::default()
     };
     let result = TestRunner::new(runs).run(&vec(step(), 1..120), |steps| {
-        play(&steps).map_err(TestCaseError::fail)
+        run_steps(&steps).map_err(TestCaseError::fail)
     });
     expect_that!(result.map_err(|e| e.to_string()), ok(anything()));
 }
