--- a/crates/core/tests/once/simulation/driver.rs
+++ b/crates/core/tests/once/simulation/driver.rs
@@ -211,8 +211,8 @@
         let name = self.processes[from].name;
         let partitioned = self.partition_groups.get(to) != self.partition_groups.get(name);
         let lost = self.rng.random_range(0..1000) < self.loss_permille;
-        let reachable = self.processes[from].reachable;
-        if partitioned || lost || !reachable || !NAMES.contains(&to) {
+        let can_send = self.processes[from].can_send;
+        if partitioned || lost || !can_send || !NAMES.contains(&to) {
             return;
         }
         let delay_ms = self.latency();
--- a/crates/core/tests/once/simulation/mod.rs
+++ b/crates/core/tests/once/simulation/mod.rs
@@ -91,9 +91,9 @@
     name: &'static str,
     incarnation: u64,
     node: Node,
-    /// Whether the messages that it sends are delivered. A replaced process may go on running
-    /// without being heard.
-    reachable: bool,
+    /// Whether the messages that it sends are delivered. Those of a replaced process that keeps
+    /// running are not.
+    can_send: bool,
     paused_until_ms: u64,
     /// Monotonic clock: its reading at simulated time 0, and its rate in thousandths of the true
     /// rate.
@@ -268,7 +268,7 @@
             name,
             incarnation,
             node: Node::new(options, started_at),
-            reachable: true,
+            can_send: true,
             paused_until_ms: 0,
             mono_offset_ms: mono_offset_ms.wrapping_sub(self.now_ms),
             clock_rate_permille: self.rng.random_range(996..=1004),
@@ -290,7 +290,7 @@
     /// none of its messages is delivered.
     pub(crate) fn restart(&mut self, name: &'static str, keeps_running: bool) {
         let old = self.current_process(name);
-        self.processes[old].reachable = false;
+        self.processes[old].can_send = false;
         if !keeps_running {
             self.processes[old].paused_until_ms = u64::MAX;
         }
@@ -325,7 +325,8 @@
         self.send(entry, key(date, self.keys_created));
     }
 
-    /// Repeats the key of the request that came `requests_back` requests before the latest.
+    /// Repeats the key of the request that came `requests_back` requests before the latest,
+    /// modulo the number of requests.
     pub(crate) fn repeat_key(&mut self, entry: &'static str, requests_back: usize) {
         let count = self.requests.len();
         if let Some(request_index) = count.checked_sub(1 + requests_back % count.max(1)) {
