--- a/crates/core/src/gateway/attempt.rs
+++ b/crates/core/src/gateway/attempt.rs
@@ -15,16 +15,16 @@
         budget::RetryBudget,
         catalog::Workspace,
         endpoint,
-        fate::{
-            Fate,
-            Next, //
-        },
         fingerprint::{
             self,
             Content,
             Fingerprint, //
         },
         hot_spots,
+        outcome::{
+            AttemptOutcome,
+            Next, //
+        },
         place,
         quarantine::{
             self,
@@ -346,41 +346,50 @@
         now: Time,
         ticket: &mut Ticket,
         endpoint: EndpointKey,
-        fate: Fate,
+        outcome: AttemptOutcome,
     ) -> Next {
-        self.record_outcome(now, ticket, endpoint, fate);
+        self.record_outcome(now, ticket, endpoint, outcome);
         self.registry
-            .ended(now, endpoint, fate, now.since(ticket.sent));
-        self.decide_next(now, ticket, endpoint, fate)
+            .ended(now, endpoint, outcome, now.since(ticket.sent));
+        self.decide_next(now, ticket, endpoint, outcome)
     }
 
     /// Tells the quarantine how an attempt ended. A broken connection to a leaving endpoint is no
     /// crash, because such an endpoint may close its connections.
-    fn record_outcome(&mut self, now: Time, ticket: &Ticket, endpoint: EndpointKey, fate: Fate) {
+    fn record_outcome(
+        &mut self,
+        now: Time,
+        ticket: &Ticket,
+        endpoint: EndpointKey,
+        outcome: AttemptOutcome,
+    ) {
         let Some(content) = ticket.content else {
             return;
         };
         let usable = self.registry.get(endpoint).filter(|e| e.usable());
-        match (fate, usable) {
-            (Fate::Broken, Some(endpoint)) => {
+        match (outcome, usable) {
+            (AttemptOutcome::Broken, Some(endpoint)) => {
                 self.quarantine
                     .crashed(now, content, endpoint.tag(), ticket.sent);
             }
-            (Fate::Answered | Fate::Failed, _) => self.quarantine.answered(now, content),
+            (AttemptOutcome::Answered | AttemptOutcome::Failed, _) => {
+                self.quarantine.answered(now, content)
+            }
             _ => {}
         }
     }
 
     /// Notes that the caller left during an attempt.
     pub fn left(&mut self, now: Time, endpoint: EndpointKey) {
-        self.registry.ended(now, endpoint, Fate::Left, Millis(0));
+        self.registry
+            .ended(now, endpoint, AttemptOutcome::Left, Millis(0));
     }
 
     /// Notes that no connection to an endpoint could be made, so that nothing was sent.
     pub fn unreached(&mut self, now: Time, ticket: &mut Ticket, endpoint: EndpointKey) -> Next {
         let cold = warmup_time(self.catalog.as_ref());
         self.registry.unreached(now, endpoint, cold);
-        self.decide_next(now, ticket, endpoint, Fate::NotSent)
+        self.decide_next(now, ticket, endpoint, AttemptOutcome::NotSent)
     }
 
     fn decide_next(
@@ -388,21 +397,21 @@
         now: Time,
         ticket: &mut Ticket,
         endpoint: EndpointKey,
-        fate: Fate,
+        outcome: AttemptOutcome,
     ) -> Next {
-        if fate == Fate::NotSent {
+        if outcome == AttemptOutcome::NotSent {
             ticket.tried.retain(|k| *k != endpoint);
             ticket.unreached.push(endpoint);
             // The retry charged to the budget was not sent.
             ticket.retry_reserved |= !ticket.tried.is_empty();
         }
-        ticket.may_have_run |= fate.may_have_run();
-        if matches!(fate, Fate::Answered | Fate::Left) {
+        ticket.may_have_run |= outcome.may_have_run();
+        if matches!(outcome, AttemptOutcome::Answered | AttemptOutcome::Left) {
             return Next::Deliver;
         }
         let may_continue = now < ticket.until && ticket.attempts() < ticket.route.attempts;
-        let costs_no_retry = fate == Fate::NotSent && ticket.tried.is_empty();
-        let allowed = fate.repeatable(ticket.route.kind)
+        let costs_no_retry = outcome == AttemptOutcome::NotSent && ticket.tried.is_empty();
+        let allowed = outcome.repeatable(ticket.route.kind)
             && (!ticket.may_have_run || ticket.route.kind.repeatable());
         let may_continue = may_continue && allowed && ticket.unreached.len() < MAX_UNREACHED;
         if may_continue && (costs_no_retry || self.reserve_retry(now, ticket)) {
--- a/crates/core/src/gateway/endpoint.rs
+++ b/crates/core/src/gateway/endpoint.rs
@@ -10,11 +10,11 @@
 
 use crate::{
     gateway::{
-        fate::Fate,
         mesh::{
             self,
             EndpointReport, //
         },
+        outcome::AttemptOutcome,
     },
     ids::Tag,
     units::{
@@ -425,20 +425,20 @@
     }
 
     /// Notes how an attempt ended, and how long it took.
-    pub fn ended(&mut self, now: Time, fate: Fate, took: Millis) {
+    pub fn ended(&mut self, now: Time, outcome: AttemptOutcome, took: Millis) {
         self.own_in_flight = self.own_in_flight.saturating_sub(1);
-        match fate {
-            Fate::Answered => {
+        match outcome {
+            AttemptOutcome::Answered => {
                 self.consecutive_failures = 0;
                 self.paused_until = None;
                 self.update_latency(now, took);
                 self.update_failure_rate(now, 0.0);
             }
-            Fate::Failed => {
+            AttemptOutcome::Failed => {
                 self.update_latency(now, took.max(MIN_FAILED_LATENCY));
                 self.update_failure_rate(now, 1.0);
             }
-            Fate::Broken | Fate::Stalled => {
+            AttemptOutcome::Broken | AttemptOutcome::Stalled => {
                 self.update_latency(now, BROKEN_LATENCY);
                 self.update_failure_rate(now, 1.0);
                 self.consecutive_failures += 1;
@@ -446,9 +446,9 @@
                     self.pause(now, self.consecutive_failures - PAUSE_AFTER_BROKEN);
                 }
             }
-            Fate::Rejected => self.update_latency(now, REJECTED_LATENCY),
-            Fate::Misdirected => self.state = State::Gone,
-            Fate::NotSent | Fate::Left => {}
+            AttemptOutcome::Rejected => self.update_latency(now, REJECTED_LATENCY),
+            AttemptOutcome::Misdirected => self.state = State::Gone,
+            AttemptOutcome::NotSent | AttemptOutcome::Left => {}
         }
     }
 
--- a/crates/core/src/gateway/fate.rs
+++ b/crates/core/src/gateway/outcome.rs
@@ -6,10 +6,10 @@
     route::Kind, //
 };
 
-/// `Fate` is the outcome of one attempt.
+/// `AttemptOutcome` is the outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
-pub enum Fate {
+pub enum AttemptOutcome {
     /// No byte of the request left this router.
     NotSent,
     /// The endpoint rejected the request: it did not run it and will not.
@@ -29,26 +29,35 @@
     Left,
 }
 
-impl Fate {
+impl AttemptOutcome {
     /// Tells whether the endpoint may have run the request.
     pub const fn may_have_run(self) -> bool {
-        !matches!(self, Fate::NotSent | Fate::Rejected | Fate::Misdirected)
+        !matches!(
+            self,
+            AttemptOutcome::NotSent | AttemptOutcome::Rejected | AttemptOutcome::Misdirected
+        )
     }
 
     /// Tells whether another attempt may follow for a request of this kind.
     pub const fn repeatable(self, kind: Kind) -> bool {
         match self {
-            Fate::NotSent | Fate::Rejected | Fate::Misdirected => true,
-            Fate::Failed | Fate::Broken | Fate::Stalled => kind.repeatable(),
-            Fate::Answered | Fate::Left => false,
+            AttemptOutcome::NotSent | AttemptOutcome::Rejected | AttemptOutcome::Misdirected => {
+                true
+            }
+            AttemptOutcome::Failed | AttemptOutcome::Broken | AttemptOutcome::Stalled => {
+                kind.repeatable()
+            }
+            AttemptOutcome::Answered | AttemptOutcome::Left => false,
         }
     }
 
     /// Gets the cause that the caller is told if no other attempt follows.
     pub const fn cause(self) -> Cause {
         match self {
-            Fate::Stalled => Cause::Deadline,
-            Fate::NotSent | Fate::Rejected | Fate::Misdirected => Cause::NoEndpoint,
+            AttemptOutcome::Stalled => Cause::Deadline,
+            AttemptOutcome::NotSent | AttemptOutcome::Rejected | AttemptOutcome::Misdirected => {
+                Cause::NoEndpoint
+            }
             _ => Cause::EndpointFailed,
         }
     }
--- a/crates/core/src/gateway/registry.rs
+++ b/crates/core/src/gateway/registry.rs
@@ -17,11 +17,11 @@
             Load,
             State, //
         },
-        fate::Fate,
         mesh::{
             EndpointReport, //
             MAX_REPORTS_WITHOUT_LOAD,
         },
+        outcome::AttemptOutcome,
     },
     ids::Tag,
     load::score,
@@ -286,9 +286,9 @@
     }
 
     /// Records how an attempt ended and how long it took.
-    pub fn ended(&mut self, now: Time, key: EndpointKey, fate: Fate, took: Millis) {
+    pub fn ended(&mut self, now: Time, key: EndpointKey, outcome: AttemptOutcome, took: Millis) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.ended(now, fate, took);
+            endpoint.ended(now, outcome, took);
         }
     }
 
--- a/crates/core/tests/gateway/budget.rs
+++ b/crates/core/tests/gateway/budget.rs
@@ -8,8 +8,8 @@
             Policy, //
             RetryBudget,
         },
-        fate::{
-            Fate,
+        outcome::{
+            AttemptOutcome,
             Next, //
         },
     },
@@ -106,7 +106,7 @@
         .place(now, &ticket, &request)
         .expect("an endpoint is available");
     gateway.sent(now, &mut ticket, placed.endpoint);
-    gateway.ended(now, &mut ticket, placed.endpoint, Fate::Failed)
+    gateway.ended(now, &mut ticket, placed.endpoint, AttemptOutcome::Failed)
 }
 
 /// Sends five requests whose first attempts fail; returns how many are retried.
--- a/crates/core/tests/gateway/endpoint.rs
+++ b/crates/core/tests/gateway/endpoint.rs
@@ -18,8 +18,8 @@
             Load,
             State, //
         },
-        fate::Fate,
         mesh::EndpointReport,
+        outcome::AttemptOutcome,
     },
     units::{
         Millis,
@@ -44,8 +44,8 @@
     endpoint.record_load(Time(10), load(5));
     endpoint.sent(Time(20));
     expect_that!(endpoint.load(Time(30)), eq(6));
-    endpoint.ended(Time(40), Fate::Answered, Millis(20));
-    endpoint.ended(Time(40), Fate::Answered, Millis(20));
+    endpoint.ended(Time(40), AttemptOutcome::Answered, Millis(20));
+    endpoint.ended(Time(40), AttemptOutcome::Answered, Millis(20));
     expect_that!(endpoint.load(Time(50)), eq(4));
 }
 
@@ -95,7 +95,7 @@
     expect_true!(endpoint.paused(Time(1199)));
     expect_false!(endpoint.paused(Time(1200)));
     endpoint.sent(Time(1200));
-    endpoint.ended(Time(1300), Fate::Answered, Millis(20));
+    endpoint.ended(Time(1300), AttemptOutcome::Answered, Millis(20));
     endpoint.unreached(Time(2000));
     expect_false!(endpoint.paused(Time(2400)));
 }
@@ -105,9 +105,9 @@
     let mut endpoint = Endpoint::new(None, entry(1));
     endpoint.sent(Time(0));
     endpoint.sent(Time(0));
-    endpoint.ended(Time(10), Fate::Broken, Millis(20));
+    endpoint.ended(Time(10), AttemptOutcome::Broken, Millis(20));
     expect_false!(endpoint.paused(Time(11)));
-    endpoint.ended(Time(12), Fate::Stalled, Millis(20));
+    endpoint.ended(Time(12), AttemptOutcome::Stalled, Millis(20));
     expect_true!(endpoint.paused(Time(13)));
 }
 
@@ -115,7 +115,7 @@
 fn verify_a_misdirected_answer_marks_the_endpoint_as_gone() {
     let mut endpoint = Endpoint::new(None, entry(1));
     endpoint.sent(Time(0));
-    endpoint.ended(Time(10), Fate::Misdirected, Millis(20));
+    endpoint.ended(Time(10), AttemptOutcome::Misdirected, Millis(20));
     expect_that!(endpoint.state, eq(State::Gone));
     endpoint.update_entry(entry(1));
     expect_false!(endpoint.usable());
@@ -126,19 +126,19 @@
     Ready,
     Leaving,
     Sent,
-    Ended(Fate),
+    Ended(AttemptOutcome),
     Unreached,
     Stated(u32),
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
     let outcome = prop_oneof![
-        Just(Fate::Answered),
-        Just(Fate::Failed),
-        Just(Fate::Broken),
-        Just(Fate::Rejected),
-        Just(Fate::Misdirected),
-        Just(Fate::Left),
+        Just(AttemptOutcome::Answered),
+        Just(AttemptOutcome::Failed),
+        Just(AttemptOutcome::Broken),
+        Just(AttemptOutcome::Rejected),
+        Just(AttemptOutcome::Misdirected),
+        Just(AttemptOutcome::Left),
     ];
     prop_oneof![
         4 => Just(Step::Ready),
@@ -175,7 +175,7 @@
                 Step::Ended(outcome) if own_in_flight > 0 => {
                     endpoint.ended(now, outcome, Millis(20));
                     own_in_flight -= 1;
-                    left |= outcome == Fate::Misdirected;
+                    left |= outcome == AttemptOutcome::Misdirected;
                 }
                 Step::Ended(_) => {}
                 Step::Unreached => endpoint.unreached(now),
--- a/crates/core/tests/gateway/flow.rs
+++ b/crates/core/tests/gateway/flow.rs
@@ -5,8 +5,8 @@
 use toucanturn_core::{
     gateway::{
         Gateway, RegistryEvent, Ticket,
-        fate::{
-            Fate,
+        outcome::{
+            AttemptOutcome,
             Next, //
         },
         refusal::{
@@ -35,7 +35,12 @@
 }
 
 /// Sends the next attempt and ends it with `outcome`.
-fn send_attempt(gateway: &mut Gateway, ticket: &mut Ticket, path: &str, outcome: Fate) -> Next {
+fn send_attempt(
+    gateway: &mut Gateway,
+    ticket: &mut Ticket,
+    path: &str,
+    outcome: AttemptOutcome,
+) -> Next {
     let placed = gateway
         .place(Time(20), ticket, &request(path))
         .expect("an endpoint is available");
@@ -102,7 +107,11 @@
 
 #[gtest]
 fn verify_a_non_idempotent_request_that_may_have_run_is_not_retried() {
-    for outcome in [Fate::Broken, Fate::Stalled, Fate::Failed] {
+    for outcome in [
+        AttemptOutcome::Broken,
+        AttemptOutcome::Stalled,
+        AttemptOutcome::Failed,
+    ] {
         let mut gateway = gateway(4);
         let mut ticket = gateway
             .admit(Time(10), &request("/once/x"))
@@ -119,7 +128,12 @@
     let mut ticket = gateway
         .admit(Time(10), &request("/once/x"))
         .expect("the request is admitted");
-    let next = send_attempt(&mut gateway, &mut ticket, "/once/x", Fate::Rejected);
+    let next = send_attempt(
+        &mut gateway,
+        &mut ticket,
+        "/once/x",
+        AttemptOutcome::Rejected,
+    );
     expect_that!(next, eq(Next::Again));
     let placed = gateway.place(Time(40), &ticket, &request("/once/x"));
     let retried = placed.expect("another endpoint is available").endpoint;
@@ -134,7 +148,7 @@
     let mut ticket = gateway
         .admit(Time(10), &request("/read/x"))
         .expect("the request is admitted");
-    let next = send_attempt(&mut gateway, &mut ticket, "/read/x", Fate::Broken);
+    let next = send_attempt(&mut gateway, &mut ticket, "/read/x", AttemptOutcome::Broken);
     expect_that!(next, eq(Next::Again));
     let placed = gateway
         .place(Time(40), &ticket, &request("/read/x"))
@@ -153,11 +167,11 @@
         .admit(Time(10), &request("/read/x"))
         .expect("the request is admitted");
     expect_that!(
-        send_attempt(&mut gateway, &mut ticket, "/read/x", Fate::Failed),
+        send_attempt(&mut gateway, &mut ticket, "/read/x", AttemptOutcome::Failed),
         eq(Next::Again)
     );
     expect_that!(
-        send_attempt(&mut gateway, &mut ticket, "/read/x", Fate::Failed),
+        send_attempt(&mut gateway, &mut ticket, "/read/x", AttemptOutcome::Failed),
         eq(Next::GiveUp)
     );
 }
@@ -169,8 +183,9 @@
         let mut ticket = gateway
             .admit(Time(10), &request("/read/x"))
             .expect("the request is admitted");
-        send_attempt(&mut gateway, &mut ticket, "/read/x", Fate::Failed) == Next::Again
-            && send_attempt(&mut gateway, &mut ticket, "/read/x", Fate::Failed) == Next::GiveUp
+        send_attempt(&mut gateway, &mut ticket, "/read/x", AttemptOutcome::Failed) == Next::Again
+            && send_attempt(&mut gateway, &mut ticket, "/read/x", AttemptOutcome::Failed)
+                == Next::GiveUp
     });
     expect_that!(retried.count(), le(20 + 3));
 }
--- a/crates/core/tests/gateway/lives.rs
+++ b/crates/core/tests/gateway/lives.rs
@@ -16,15 +16,15 @@
             Entry,
             Load, //
         },
-        fate::{
-            Fate,
-            Next, //
-        },
         mirror::{
             Delta,
             Mirror,
             Record, //
         },
+        outcome::{
+            AttemptOutcome,
+            Next, //
+        },
     },
     units::{
         Revision,
@@ -134,7 +134,12 @@
         .expect("an endpoint is available");
     gateway.sent(Time(5), &mut ticket, placed.endpoint);
     apply_entry(&mut gateway, 6, entry_started_at(0, 200));
-    let next = gateway.ended(Time(7), &mut ticket, placed.endpoint, Fate::Broken);
+    let next = gateway.ended(
+        Time(7),
+        &mut ticket,
+        placed.endpoint,
+        AttemptOutcome::Broken,
+    );
     expect_that!(next, eq(Next::GiveUp));
     expect_true!(ticket.may_have_run);
     let (new_key, _) = gateway
@@ -142,7 +147,7 @@
         .of(b"engines")
         .next()
         .expect("the endpoint is listed");
-    let next = gateway.ended(Time(8), &mut ticket, new_key, Fate::Rejected);
+    let next = gateway.ended(Time(8), &mut ticket, new_key, AttemptOutcome::Rejected);
     expect_that!(next, eq(Next::GiveUp));
     expect_true!(ticket.may_have_run);
 }
--- a/crates/core/tests/gateway/fate.rs
+++ b/crates/core/tests/gateway/outcome.rs
@@ -2,19 +2,19 @@
 
 use googletest::prelude::*;
 use toucanturn_core::gateway::{
-    fate::Fate,
+    outcome::AttemptOutcome,
     route::Kind, //
 };
 
-const OUTCOMES: [Fate; 8] = [
-    Fate::NotSent,
-    Fate::Rejected,
-    Fate::Misdirected,
-    Fate::Failed,
-    Fate::Broken,
-    Fate::Stalled,
-    Fate::Answered,
-    Fate::Left,
+const OUTCOMES: [AttemptOutcome; 8] = [
+    AttemptOutcome::NotSent,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::Misdirected,
+    AttemptOutcome::Failed,
+    AttemptOutcome::Broken,
+    AttemptOutcome::Stalled,
+    AttemptOutcome::Answered,
+    AttemptOutcome::Left,
 ];
 
 /// A non-idempotent request is never sent again after an attempt that may have run.
@@ -31,13 +31,13 @@
 #[gtest]
 fn verify_only_unsent_rejected_and_misdirected_attempts_did_not_run() {
     let not_run = OUTCOMES.into_iter().filter(|f| !f.may_have_run());
-    let not_run: Vec<Fate> = not_run.collect();
+    let not_run: Vec<AttemptOutcome> = not_run.collect();
     expect_that!(
         not_run,
         elements_are![
-            eq(&Fate::NotSent),
-            eq(&Fate::Rejected),
-            eq(&Fate::Misdirected)
+            eq(&AttemptOutcome::NotSent),
+            eq(&AttemptOutcome::Rejected),
+            eq(&AttemptOutcome::Misdirected)
         ]
     );
 }
@@ -45,8 +45,8 @@
 #[gtest]
 fn verify_a_request_that_was_answered_or_abandoned_is_not_repeated() {
     for kind in [Kind::Repeatable, Kind::Stream { resumable: true }] {
-        expect_false!(Fate::Answered.repeatable(kind));
-        expect_false!(Fate::Left.repeatable(kind));
-        expect_true!(Fate::Broken.repeatable(kind));
+        expect_false!(AttemptOutcome::Answered.repeatable(kind));
+        expect_false!(AttemptOutcome::Left.repeatable(kind));
+        expect_true!(AttemptOutcome::Broken.repeatable(kind));
     }
 }
--- a/crates/core/tests/gateway/place.rs
+++ b/crates/core/tests/gateway/place.rs
@@ -9,7 +9,7 @@
         Ticket,
         ask::Ask,
         endpoint::Load,
-        fate::Fate, //
+        outcome::AttemptOutcome, //
     },
     units::{
         Millis,
@@ -153,7 +153,7 @@
     for _ in 0..8 {
         let mut ticket = admit_request(&mut gateway, &request);
         gateway.sent(Time(10), &mut ticket, failing);
-        gateway.ended(Time(10), &mut ticket, failing, Fate::Failed);
+        gateway.ended(Time(10), &mut ticket, failing, AttemptOutcome::Failed);
     }
     let again = (0..100).filter(|_| place_request(&mut gateway, &request) == failing);
     expect_that!(again.count(), eq(0));
@@ -173,7 +173,7 @@
         for key in &all {
             let mut ticket = admit_request(&mut gateway, &chat_request(1, 1));
             gateway.sent(Time(10), &mut ticket, *key);
-            gateway.ended(Time(10), &mut ticket, *key, Fate::Failed);
+            gateway.ended(Time(10), &mut ticket, *key, AttemptOutcome::Failed);
         }
     }
     let during: Vec<_> = (0..40).map(|s| preferred(&mut gateway, s)).collect();
@@ -326,7 +326,7 @@
     for n in 0..12 {
         let mut ticket = admit_request(&mut gateway, &request);
         gateway.sent(Time(n * 100), &mut ticket, endpoint);
-        gateway.ended(Time(n * 100), &mut ticket, endpoint, Fate::Broken);
+        gateway.ended(Time(n * 100), &mut ticket, endpoint, AttemptOutcome::Broken);
     }
     let mut chosen = 0;
     for n in 0..100 {
@@ -345,7 +345,7 @@
             now + Millis(answer_ms),
             &mut ticket,
             placed.endpoint,
-            Fate::Answered,
+            AttemptOutcome::Answered,
         );
         chosen += u32::from(placed.endpoint == endpoint);
     }
@@ -372,9 +372,9 @@
         let failing = *failing.get_or_insert(placed.endpoint);
         gateway.sent(now, &mut ticket, placed.endpoint);
         let (answer_ms, outcome) = if placed.endpoint == failing {
-            (7, Fate::Failed)
+            (7, AttemptOutcome::Failed)
         } else {
-            (80, Fate::Answered)
+            (80, AttemptOutcome::Answered)
         };
         gateway.ended(
             now + Millis(answer_ms),
--- a/crates/core/tests/gateway/quarantine.rs
+++ b/crates/core/tests/gateway/quarantine.rs
@@ -12,7 +12,6 @@
     gateway::{
         Change, Gateway, Ticket,
         endpoint::Load,
-        fate::Fate,
         fingerprint::{
             Content,
             Fingerprint, //
@@ -21,6 +20,7 @@
             FANOUT,
             GOSSIP_INTERVAL, //
         },
+        outcome::AttemptOutcome,
         quarantine::{
             self,
             MAX_SUSPECTS,
@@ -72,7 +72,7 @@
     let placed = gateway.place(now, &ticket, &request("/once/x"));
     let placed = placed.expect("the request is not quarantined");
     gateway.sent(now, &mut ticket, placed.endpoint);
-    gateway.ended(now, &mut ticket, placed.endpoint, Fate::Broken);
+    gateway.ended(now, &mut ticket, placed.endpoint, AttemptOutcome::Broken);
     // The endpoint's port is closed afterwards.
     gateway.unreached(now, &mut ticket, placed.endpoint);
 }
@@ -141,7 +141,12 @@
     });
     let sent: Vec<_> = sent.collect();
     for (n, (mut ticket, key)) in (0..).zip(sent) {
-        gateway.ended(Time(1000 + n * 40), &mut ticket, key, Fate::Broken);
+        gateway.ended(
+            Time(1000 + n * 40),
+            &mut ticket,
+            key,
+            AttemptOutcome::Broken,
+        );
     }
     expect_false!(is_quarantined(&mut gateway, Time(1300), "a"));
     expect_false!(is_quarantined(&mut gateway, Time(5000), "a"));
@@ -164,7 +169,7 @@
 /// Guards against quarantining a request that endpoints answer.
 #[gtest]
 fn verify_a_complete_answer_clears_earlier_crashes() {
-    for outcome in [Fate::Answered, Fate::Failed] {
+    for outcome in [AttemptOutcome::Answered, AttemptOutcome::Failed] {
         let mut gateway = gateway(12);
         send_crashing_request(&mut gateway, Time(1000), "a");
         send_crashing_request(&mut gateway, Time(2000), "a");
@@ -198,14 +203,14 @@
         let placed = gateway.place(now, &ticket, &request("/once/x"));
         let placed = placed.expect("the request is not quarantined");
         gateway.sent(now, &mut ticket, placed.endpoint);
-        gateway.ended(now, &mut ticket, placed.endpoint, Fate::Broken);
+        gateway.ended(now, &mut ticket, placed.endpoint, AttemptOutcome::Broken);
         // A request that was sent later is answered there.
         let after = now + Millis(300);
         let mut other = admit_request(&mut gateway, after, "b");
         gateway.sent(after, &mut other, placed.endpoint);
         gateway.confirm(&other, placed.endpoint);
         gateway.record_load(after, placed.endpoint, Load::default());
-        gateway.ended(after, &mut other, placed.endpoint, Fate::Answered);
+        gateway.ended(after, &mut other, placed.endpoint, AttemptOutcome::Answered);
         gateway.tick(after);
         expect_false!(is_quarantined(&mut gateway, now + Millis(900), "a"));
     }
@@ -266,7 +271,7 @@
         let mut leaving = listed.entry.clone();
         leaving.leaving = true;
         gateway.follow(now, vec![Change::Entry(leaving)]);
-        gateway.ended(now, &mut ticket, placed.endpoint, Fate::Broken);
+        gateway.ended(now, &mut ticket, placed.endpoint, AttemptOutcome::Broken);
     }
     expect_false!(is_quarantined(&mut gateway, Time(8000), "a"));
 }
@@ -397,7 +402,7 @@
         .expect("an endpoint is usable")
         .0;
     one.sent(Time(2500), &mut ticket, key);
-    one.ended(Time(2600), &mut ticket, key, Fate::Answered);
+    one.ended(Time(2600), &mut ticket, key, AttemptOutcome::Answered);
     // `other` receives nothing for a long time.
     let later = Time(8000);
     expect_that!(one.digest_contents(later, 1).1, is_empty());
@@ -469,7 +474,7 @@
     let keys: Vec<_> = listed.filter(|(_, e)| e.entry.id == *id).collect();
     let key = keys[0].0;
     router.sent(now, &mut ticket, key);
-    router.ended(now, &mut ticket, key, Fate::Broken);
+    router.ended(now, &mut ticket, key, AttemptOutcome::Broken);
 }
 
 /// `Fleet` is several routers that exchange records as their digests do.
--- a/crates/core/tests/gateway/skew.rs
+++ b/crates/core/tests/gateway/skew.rs
@@ -19,7 +19,7 @@
         Ticket,
         ask::Ask,
         endpoint::Load,
-        fate::Fate, //
+        outcome::AttemptOutcome, //
     },
     units::Time,
 };
@@ -120,7 +120,12 @@
                 }
                 Event::End(index, mut ticket, endpoint, name) => {
                     *self.in_progress.entry(name).or_default() -= 1;
-                    self.routers[index].ended(Time(now), &mut ticket, endpoint, Fate::Answered);
+                    self.routers[index].ended(
+                        Time(now),
+                        &mut ticket,
+                        endpoint,
+                        AttemptOutcome::Answered,
+                    );
                 }
             }
         }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -33,7 +33,7 @@
 use toucanturn_core::{
     gateway::{
         ask::Ask,
-        fate::Next,
+        outcome::Next,
         refusal::{
             Cause,
             Refusal, //
@@ -193,8 +193,8 @@
         match proxied.buffer_answer(attempt).await {
             (Next::Again, answer) => failure = answer.ok().or(failure),
             (_, Ok(response)) => return response,
-            (_, Err(fate)) => {
-                let refusal = proxied.given_up(fate.cause());
+            (_, Err(outcome)) => {
+                let refusal = proxied.given_up(outcome.cause());
                 return failure.unwrap_or_else(|| proxied.refuse(refusal));
             }
         }
--- a/crates/gateway/src/proxied.rs
+++ b/crates/gateway/src/proxied.rs
@@ -25,11 +25,11 @@
     gateway::{
         Gateway, Ticket,
         ask::Ask,
-        fate::{
-            Fate,
+        fingerprint::Content,
+        outcome::{
+            AttemptOutcome,
             Next, //
         },
-        fingerprint::Content,
         place::Placed,
         quarantine::Crash,
         refusal::{
@@ -101,10 +101,10 @@
     }
 
     /// Records how the attempt ended; returns what follows.
-    pub(crate) fn end(mut self, proxied: &mut ProxiedRequest, fate: Fate) -> Next {
+    pub(crate) fn end(mut self, proxied: &mut ProxiedRequest, outcome: AttemptOutcome) -> Next {
         self.active = false;
         let mut gateway = proxied.state.gateway.borrow_mut();
-        gateway.ended(now(), &mut proxied.ticket, self.endpoint, fate)
+        gateway.ended(now(), &mut proxied.ticket, self.endpoint, outcome)
     }
 }
 
@@ -210,12 +210,12 @@
                 pool.keep(now(), placed.endpoint, connection, None);
                 continue;
             }
-            let (guard, fate, status) = match self.send(&placed, connection, resume).await {
+            let (guard, outcome, status) = match self.send(&placed, connection, resume).await {
                 Ok(attempt) => return Ok(attempt),
                 Err(ended) => ended,
             };
-            if self.end(guard, fate, status) != Next::Again {
-                return Err(self.given_up(fate.cause()));
+            if self.end(guard, outcome, status) != Next::Again {
+                return Err(self.given_up(outcome.cause()));
             }
         }
     }
@@ -265,7 +265,7 @@
         placed: &Placed,
         mut connection: Connection,
         resume: Option<u64>,
-    ) -> Result<Attempt, (AttemptGuard, Fate, Option<StatusCode>)> {
+    ) -> Result<Attempt, (AttemptGuard, AttemptOutcome, Option<StatusCode>)> {
         if placed.cold {
             self.state.metrics.count("attempts", "cold");
         }
@@ -275,12 +275,12 @@
         let sent = timeout(self.silence_timeout(false), connection.send(request)).await;
         let response = match sent {
             Ok(SendOutcome::Head(response)) => response,
-            Ok(SendOutcome::Unsent) => return Err((guard, Fate::NotSent, None)),
+            Ok(SendOutcome::Unsent) => return Err((guard, AttemptOutcome::NotSent, None)),
             Ok(SendOutcome::ConnectionLost(error)) => {
                 tracing::debug!(id = %text(&self.ask.id), %error, "connection broke before the answer's head");
-                return Err((guard, Fate::Broken, None));
+                return Err((guard, AttemptOutcome::Broken, None));
             }
-            Err(_) => return Err((guard, Fate::Stalled, None)),
+            Err(_) => return Err((guard, AttemptOutcome::Stalled, None)),
         };
         let (head, body) = response.into_parts();
         let reply = (self.state.protocol.reply)(&head.headers);
@@ -290,21 +290,21 @@
             gateway.record_load(now(), placed.endpoint, load);
         }
         if reply.id.as_ref() != Some(&self.ask.id) {
-            return Err((guard, Fate::Broken, status));
+            return Err((guard, AttemptOutcome::Broken, status));
         }
         let misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
         if misdirected || reply.rejected {
             self.drain_rejection(&guard, connection, body, &reply).await;
-            let fate = if misdirected {
-                Fate::Misdirected
+            let outcome = if misdirected {
+                AttemptOutcome::Misdirected
             } else {
-                Fate::Rejected
+                AttemptOutcome::Rejected
             };
-            return Err((guard, fate, status));
+            return Err((guard, outcome, status));
         }
         // An answer without the signature field did not come from the endpoint, or is incomplete.
         if !reply.sealed || reply.encoded {
-            return Err((guard, Fate::Broken, status));
+            return Err((guard, AttemptOutcome::Broken, status));
         }
         // A leaving endpoint closes its connection with each answer and few others do, so an answer that
         // keeps the connection open confirms that the endpoint is not leaving.
@@ -326,7 +326,7 @@
     pub(crate) async fn buffer_answer(
         &mut self,
         attempt: Attempt,
-    ) -> (Next, Result<Response<Body>, Fate>) {
+    ) -> (Next, Result<Response<Body>, AttemptOutcome>) {
         let Attempt {
             head,
             reply,
@@ -346,16 +346,16 @@
             }
             Ok(Err(error)) => {
                 tracing::debug!(id = %text(&self.ask.id), %error, "body of the answer ended early");
-                Err(Fate::Broken)
+                Err(AttemptOutcome::Broken)
             }
-            Err(_) => Err(Fate::Stalled),
+            Err(_) => Err(AttemptOutcome::Stalled),
         };
-        let fate = match &answer {
-            Ok(_) if head.status.is_server_error() => Fate::Failed,
-            Ok(_) => Fate::Answered,
-            Err(fate) => *fate,
+        let outcome = match &answer {
+            Ok(_) if head.status.is_server_error() => AttemptOutcome::Failed,
+            Ok(_) => AttemptOutcome::Answered,
+            Err(outcome) => *outcome,
         };
-        (self.end(guard, fate, Some(head.status)), answer)
+        (self.end(guard, outcome, Some(head.status)), answer)
     }
 
     /// Reads the short body of a rejection; keeps the connection if it is complete in time.
@@ -414,12 +414,12 @@
     pub(crate) fn end(
         &mut self,
         guard: AttemptGuard,
-        fate: Fate,
+        outcome: AttemptOutcome,
         status: Option<StatusCode>,
     ) -> Next {
-        match fate {
-            Fate::Broken if self.ticket.content.is_none() => self.fingerprint(),
-            Fate::Answered | Fate::Failed => {
+        match outcome {
+            AttemptOutcome::Broken if self.ticket.content.is_none() => self.fingerprint(),
+            AttemptOutcome::Answered | AttemptOutcome::Failed => {
                 let mut gateway = self.state.gateway.borrow_mut();
                 gateway.record_complete_answer(now(), &self.content());
             }
@@ -427,11 +427,11 @@
         }
         self.identify();
         let endpoint = guard.endpoint;
-        let next = guard.end(self, fate);
+        let next = guard.end(self, outcome);
         let took = now().since(self.began);
         let service = text(&self.ticket.service).into_owned();
-        self.state.metrics.count("attempts", &fate.to_string());
-        if fate == Fate::Answered {
+        self.state.metrics.count("attempts", &outcome.to_string());
+        if outcome == AttemptOutcome::Answered {
             self.state.metrics.time("answer", &service, took);
         }
         if self.state.log.try_admit() {
@@ -442,7 +442,7 @@
                 id = %text(&self.ask.id),
                 endpoint = %endpoint_name(&gateway, endpoint),
                 attempt = self.ticket.tried.len(),
-                %fate,
+                fate = %outcome,
                 status,
                 took = took.0,
                 %next,
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -21,8 +21,8 @@
 use hyper::body::Frame;
 use tokio::time::timeout;
 use toucanturn_core::gateway::{
-    fate::{
-        Fate,
+    outcome::{
+        AttemptOutcome,
         Next, //
     },
     route::Kind,
@@ -95,12 +95,12 @@
                 return relay.respond(head, None);
             }
             ended @ (Piece::Broken | Piece::Stalled) => {
-                let fate = ended.fate();
-                let next = relay.end(fate);
+                let outcome = ended.outcome();
+                let next = relay.end(outcome);
                 last = relay.last;
                 proxied = relay.proxied;
                 if next != Next::Again {
-                    return proxied.refuse(proxied.given_up(fate.cause()));
+                    return proxied.refuse(proxied.given_up(outcome.cause()));
                 }
             }
         }
@@ -108,11 +108,11 @@
 }
 
 impl Piece {
-    /// Returns the fate of an attempt whose stream failed with this piece.
-    fn fate(&self) -> Fate {
+    /// Returns the outcome of an attempt whose stream failed with this piece.
+    fn outcome(&self) -> AttemptOutcome {
         match self {
-            Piece::Stalled => Fate::Stalled,
-            _ => Fate::Broken,
+            Piece::Stalled => AttemptOutcome::Stalled,
+            _ => AttemptOutcome::Broken,
         }
     }
 }
@@ -122,7 +122,7 @@
     match proxied.buffer_answer(attempt).await {
         (Next::Again, Ok(_)) => Box::pin(answer(proxied)).await,
         (_, Ok(response)) => response,
-        (_, Err(_)) => proxied.refuse(proxied.given_up(Fate::Broken.cause())),
+        (_, Err(_)) => proxied.refuse(proxied.given_up(AttemptOutcome::Broken.cause())),
     }
 }
 
@@ -190,20 +190,20 @@
             self.proxied
                 .keep_connection(&attempt.guard, attempt.connection, &attempt.reply);
             self.proxied
-                .end(attempt.guard, Fate::Answered, Some(status));
+                .end(attempt.guard, AttemptOutcome::Answered, Some(status));
         }
     }
 
     /// Ends a failed attempt and closes its connection, so that its endpoint stops before another one
     /// resumes the stream.
-    fn end(&mut self, fate: Fate) -> Next {
+    fn end(&mut self, outcome: AttemptOutcome) -> Next {
         self.events = EventSplitter::default();
         let Some(attempt) = self.attempt.take() else {
             return Next::GiveUp;
         };
         drop(attempt.connection);
         let status = attempt.head.status;
-        self.proxied.end(attempt.guard, fate, Some(status))
+        self.proxied.end(attempt.guard, outcome, Some(status))
     }
 
     /// Resumes the stream at another endpoint after the last event; returns whether that succeeded.
@@ -220,7 +220,8 @@
         };
         if !attempt.head.status.is_success() {
             let status = attempt.head.status;
-            self.proxied.end(attempt.guard, Fate::Failed, Some(status));
+            self.proxied
+                .end(attempt.guard, AttemptOutcome::Failed, Some(status));
             return false;
         }
         self.attempt = Some(attempt);
@@ -240,7 +241,7 @@
                 return None;
             }
             ended @ (Piece::Broken | Piece::Stalled) => {
-                if relay.end(ended.fate()) != Next::Again || !relay.resume().await {
+                if relay.end(ended.outcome()) != Next::Again || !relay.resume().await {
                     return Some((Err(BodyAborted), None));
                 }
             }
--- a/crates/replay/src/lab/fleet.rs
+++ b/crates/replay/src/lab/fleet.rs
@@ -34,10 +34,6 @@
             Service, //
         },
         endpoint::Entry,
-        fate::{
-            Fate,
-            Next as After, //
-        },
         fingerprint::Fingerprint,
         mesh::{
             EndpointReport, //
@@ -46,6 +42,10 @@
             MAX_REPORTS,
             Sample,
         },
+        outcome::{
+            AttemptOutcome,
+            Next as After, //
+        },
         quarantine::{
             Policy as Hold,
             Record, //
@@ -385,7 +385,7 @@
             return;
         };
         let router = &mut self.routers[request.router];
-        let next = router.ended(Time(now), &mut ticket, endpoint, Fate::Broken);
+        let next = router.ended(Time(now), &mut ticket, endpoint, AttemptOutcome::Broken);
         if next == After::Again {
             self.send(now, number, ticket);
         }
@@ -470,7 +470,7 @@
         let request = &mut self.requests[number];
         if let Some((mut ticket, endpoint)) = request.ticket.take() {
             let router = &mut self.routers[request.router];
-            router.ended(Time(now), &mut ticket, endpoint, Fate::Answered);
+            router.ended(Time(now), &mut ticket, endpoint, AttemptOutcome::Answered);
         }
     }
 
