--- a/crates/core/src/gateway/attempt.rs
+++ b/crates/core/src/gateway/attempt.rs
@@ -8,10 +8,6 @@
     arena::EndpointKey,
     gateway::{
         Gateway,
-        ask::{
-            self,
-            Ask, //
-        },
         budget::RetryBudget,
         catalog::Workspace,
         endpoint,
@@ -21,6 +17,10 @@
             Fingerprint, //
         },
         hot_spots,
+        incoming_request::{
+            self,
+            IncomingRequest, //
+        },
         outcome::{
             AttemptOutcome,
             Next, //
@@ -106,26 +106,30 @@
     /// # Errors
     ///
     /// The refusal that the caller gets immediately.
-    pub fn admit(&mut self, now: Time, ask: &Ask) -> Result<Ticket, Refusal> {
+    pub fn admit(
+        &mut self,
+        now: Time,
+        incoming_request: &IncomingRequest,
+    ) -> Result<Ticket, Refusal> {
         let Some(catalog) = self.catalog.clone() else {
             return Err(Refusal::temporary(Cause::NotReady));
         };
         if !self.proof.covers_routes(now, &self.bounds) {
             return Err(Refusal::temporary(Cause::Stale));
         }
-        let Some(route) = catalog.route(&ask.host, &ask.path) else {
+        let Some(route) = catalog.route(&incoming_request.host, &incoming_request.path) else {
             return Err(Refusal::permanent(Cause::UnknownRoute));
         };
-        let workspace = match &ask.key {
+        let workspace = match &incoming_request.key {
             Some(key) => catalog.holder(key),
             None => None,
         };
         if workspace.is_none() && !route.anonymous && catalog.has_workspaces() {
             return Err(Refusal::permanent(Cause::UnknownKey));
         }
-        let began = now - ask.waited;
+        let began = now - incoming_request.waited;
         let limit = began + route.limit;
-        let deadline = ask.deadline.map_or(limit, |left| began + left);
+        let deadline = incoming_request.deadline.map_or(limit, |left| began + left);
         let until = deadline.min(limit);
         if self.outlasts_stop(route, until) {
             return Err(Refusal::temporary(Cause::Stopping));
@@ -166,17 +170,25 @@
         &mut self,
         now: Time,
         ticket: &Ticket,
-        ask: &Ask,
+        incoming_request: &IncomingRequest,
     ) -> Result<place::Placed, Refusal> {
         if now >= ticket.until {
             return Err(Refusal::given_up(Cause::Deadline, ticket.may_have_run));
         }
         self.check_quarantine(now, ticket)?;
         let draw = self.draw();
-        let part = ask.prompt.as_ref().and_then(ask::Prompt::placement_part);
+        let part = incoming_request
+            .prompt
+            .as_ref()
+            .and_then(incoming_request::Prompt::placement_part);
         let is_first = ticket.tried.is_empty() && ticket.unreached.is_empty();
         if let Some(part) = part.filter(|_| is_first) {
-            self.record_request_sample(now, &ticket.service, hot_spots::tag(part.id), ask.work());
+            self.record_request_sample(
+                now,
+                &ticket.service,
+                hot_spots::tag(part.id),
+                incoming_request.work(),
+            );
         }
         if self.warmup.has_cold_endpoints() {
             self.warmup.record_waiting(now, ticket.workspace_tag());
@@ -191,7 +203,7 @@
             now,
             draw,
         };
-        let placed = place::choose(&context, ticket, ask.prompt.as_ref());
+        let placed = place::choose(&context, ticket, incoming_request.prompt.as_ref());
         let Some(placed) = placed else {
             if let Some(warm) = place::time_until_warm(&context, ticket) {
                 let wait = spread_retry_delay(now, ticket.deadline, warm, draw);
--- a/crates/core/src/gateway/ask.rs
+++ b/crates/core/src/gateway/incoming_request.rs
@@ -8,9 +8,9 @@
 /// Tokens that an engine generates in the time that the first token of an answer takes.
 const FIRST_TOKEN_COST: u32 = 12;
 
-/// `Ask` is one parsed request.
+/// `IncomingRequest` is one parsed request of a caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ask {
+pub struct IncomingRequest {
     /// Id of this request, unique for each time that the caller sends it.
     pub id: Bytes,
     /// Host that it names, in lower case and without a port.
@@ -53,7 +53,7 @@
     pub tokens: u32,
 }
 
-impl Ask {
+impl IncomingRequest {
     /// Estimates how long the request occupies an engine, measured in generated tokens: the
     /// caller's estimate of the output length, or without one its limit, plus the cost of the first
     /// token.
--- a/crates/core/src/gateway/mod.rs
+++ b/crates/core/src/gateway/mod.rs
@@ -28,13 +28,13 @@
     Time, //
 };
 
-pub mod ask;
 pub mod attempt;
 pub mod budget;
 pub mod catalog;
 pub mod endpoint;
 pub mod fingerprint;
 pub mod hot_spots;
+pub mod incoming_request;
 pub mod mesh;
 pub mod mirror;
 pub mod outcome;
--- a/crates/core/src/gateway/place.rs
+++ b/crates/core/src/gateway/place.rs
@@ -11,12 +11,12 @@
     arena::EndpointKey,
     gateway::{
         Ticket,
-        ask::Prompt,
         endpoint::Endpoint,
         hot_spots::{
             self,
             HotSpots, //
         },
+        incoming_request::Prompt,
         proof::FreshnessProof,
         registry::Registry,
         settings::Bounds,
--- a/crates/core/tests/gateway/evacuation.rs
+++ b/crates/core/tests/gateway/evacuation.rs
@@ -149,7 +149,7 @@
 #[gtest]
 fn verify_prompts_are_fetched_from_an_evacuated_data_center_for_half_of_the_bound() {
     let mut gateway = gateway();
-    let chat_request = |shared| toucanturn_core::gateway::ask::Ask {
+    let chat_request = |shared| toucanturn_core::gateway::incoming_request::IncomingRequest {
         prompt: Some(crate::fixture::prompt(shared, 1)),
         ..request("/chat/x")
     };
--- a/crates/core/tests/gateway/fixture.rs
+++ b/crates/core/tests/gateway/fixture.rs
@@ -10,11 +10,6 @@
     gateway::{
         Change,
         Gateway,
-        ask::{
-            Ask,
-            Part,
-            Prompt, //
-        },
         budget::Policy,
         catalog::{
             Catalog,
@@ -25,6 +20,11 @@
             Workspace, //
         },
         endpoint::Entry,
+        incoming_request::{
+            IncomingRequest,
+            Part,
+            Prompt, //
+        },
         quarantine::Policy as QuarantinePolicy,
         route::{
             Kind,
@@ -150,14 +150,14 @@
     gateway
 }
 
-pub(crate) fn request(path: &str) -> Ask {
-    Ask {
+pub(crate) fn request(path: &str) -> IncomingRequest {
+    IncomingRequest {
         id: Bytes::from_static(b"a1"),
         host: Bytes::from_static(HOST.as_bytes()),
         path: Bytes::copy_from_slice(path.as_bytes()),
         key: Some(Bytes::from_static(KEY.as_bytes())),
         deadline: Some(Millis(3000)),
-        ..Ask::default()
+        ..IncomingRequest::default()
     }
 }
 
--- a/crates/core/tests/gateway/place.rs
+++ b/crates/core/tests/gateway/place.rs
@@ -7,8 +7,8 @@
         Change,
         Gateway,
         Ticket,
-        ask::Ask,
         endpoint::Load,
+        incoming_request::IncomingRequest,
         outcome::AttemptOutcome, //
     },
     units::{
@@ -24,20 +24,20 @@
     request, //
 };
 
-fn chat_request(shared: u64, own_in_flight: u64) -> Ask {
-    Ask {
+fn chat_request(shared: u64, own_in_flight: u64) -> IncomingRequest {
+    IncomingRequest {
         prompt: Some(prompt(shared, own_in_flight)),
         ..request("/chat/x")
     }
 }
 
-fn admit_request(gateway: &mut Gateway, request: &Ask) -> Ticket {
+fn admit_request(gateway: &mut Gateway, request: &IncomingRequest) -> Ticket {
     gateway
         .admit(Time(10), request)
         .expect("the request is admitted")
 }
 
-fn place_request(gateway: &mut Gateway, request: &Ask) -> EndpointKey {
+fn place_request(gateway: &mut Gateway, request: &IncomingRequest) -> EndpointKey {
     let ticket = admit_request(gateway, request);
     let placed = gateway.place(Time(10), &ticket, request);
     placed.expect("an endpoint is available").endpoint
--- a/crates/core/tests/gateway/skew.rs
+++ b/crates/core/tests/gateway/skew.rs
@@ -17,8 +17,8 @@
     gateway::{
         Gateway,
         Ticket,
-        ask::Ask,
         endpoint::Load,
+        incoming_request::IncomingRequest,
         outcome::AttemptOutcome, //
     },
     units::Time,
@@ -81,7 +81,7 @@
     }
 
     /// Places a request; returns whether its engine was over twice the mean load plus three.
-    fn send(&mut self, now: u64, request: &Ask) -> bool {
+    fn send(&mut self, now: u64, request: &IncomingRequest) -> bool {
         let index = self.rng.random_range(0..self.size.routers);
         let router = &mut self.routers[index];
         let at = Time(now);
@@ -165,7 +165,7 @@
                 } else {
                     self.rng.random_range(100..100 + parts)
                 };
-                let request = Ask {
+                let request = IncomingRequest {
                     prompt: Some(prompt(shared, now)),
                     ..request("/chat/x")
                 };
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -32,7 +32,7 @@
 use tokio::time::timeout;
 use toucanturn_core::{
     gateway::{
-        ask::Ask,
+        incoming_request::IncomingRequest,
         outcome::Next,
         refusal::{
             Cause,
@@ -85,7 +85,9 @@
     let began = now();
     let (parts, body) = request.into_parts();
     let mut response = match read(&state, &parts, body, began).await {
-        Ok((ask, body)) => admit_and_answer(&state, ask, parts, body, began).await,
+        Ok((incoming_request, body)) => {
+            admit_and_answer(&state, incoming_request, parts, body, began).await
+        }
         Err((id, refusal)) => refuse(&state, &id, refusal, None),
     };
     let headers = response.headers_mut();
@@ -113,9 +115,9 @@
     parts: &Parts,
     body: Incoming,
     began: Time,
-) -> Result<(Ask, Bytes), (Bytes, Refusal)> {
+) -> Result<(IncomingRequest, Bytes), (Bytes, Refusal)> {
     let no_id = Bytes::new();
-    let ask = (state.protocol.ask)(parts).map_err(|why| {
+    let incoming_request = (state.protocol.parse_request)(parts).map_err(|why| {
         if state.log.try_admit() {
             tracing::warn!(event = 601, why, "request is malformed");
         }
@@ -127,39 +129,42 @@
     };
     // Refuses a body whose declared length exceeds the limit without reading it.
     if body.size_hint().lower() > u64::try_from(limits.body).unwrap_or(u64::MAX) {
-        return Err((ask.id, Refusal::permanent(Cause::TooLarge)));
+        return Err((incoming_request.id, Refusal::permanent(Cause::TooLarge)));
     }
-    let body_timeout = ask.deadline.unwrap_or(limits.idle).min(limits.idle);
+    let body_timeout = incoming_request
+        .deadline
+        .unwrap_or(limits.idle)
+        .min(limits.idle);
     let collected = timeout(
         Duration::from_millis(body_timeout.0),
         Limited::new(body, limits.body).collect(),
     );
     match collected.await {
-        Ok(Ok(body)) => Ok((ask, body.to_bytes())),
+        Ok(Ok(body)) => Ok((incoming_request, body.to_bytes())),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
-            Err((ask.id, Refusal::permanent(Cause::TooLarge)))
+            Err((incoming_request.id, Refusal::permanent(Cause::TooLarge)))
         }
         Ok(Err(error)) => {
             if state.log.try_admit() {
-                let id = text(&ask.id);
+                let id = text(&incoming_request.id);
                 tracing::warn!(event = 602, %id, %error, "request's body broke off");
             }
-            Err((ask.id, Refusal::permanent(Cause::Malformed)))
+            Err((incoming_request.id, Refusal::permanent(Cause::Malformed)))
         }
         Err(_) => {
             let waited = now().since(began).0;
             if state.log.try_admit() {
-                let id = text(&ask.id);
+                let id = text(&incoming_request.id);
                 tracing::warn!(event = 603, %id, waited, "request's body is slow");
             }
-            Err((ask.id, Refusal::permanent(Cause::TooSlow)))
+            Err((incoming_request.id, Refusal::permanent(Cause::TooSlow)))
         }
     }
 }
 
 async fn admit_and_answer(
     state: &Shared,
-    mut ask: Ask,
+    mut incoming_request: IncomingRequest,
     parts: Parts,
     body: Bytes,
     began: Time,
@@ -167,13 +172,25 @@
     state.wait_for_first_read().await;
     // Takes the time again: the configuration may have become stale while the body arrived.
     let now = now();
-    ask.waited = now.since(began);
-    let admitted = state.gateway.borrow_mut().admit(now, &ask);
+    incoming_request.waited = now.since(began);
+    let admitted = state.gateway.borrow_mut().admit(now, &incoming_request);
     let ticket = match admitted {
         Ok(ticket) => ticket,
-        Err(refusal) => return refuse(state, &ask.id, refusal, ask.deadline.map(|d| began + d)),
+        Err(refusal) => {
+            return refuse(
+                state,
+                &incoming_request.id,
+                refusal,
+                incoming_request.deadline.map(|d| began + d),
+            );
+        }
     };
-    let proxied = ProxiedRequest::new(state.clone(), (ask, ticket), (parts, body), began);
+    let proxied = ProxiedRequest::new(
+        state.clone(),
+        (incoming_request, ticket),
+        (parts, body),
+        began,
+    );
     if proxied.ticket.route.kind.streams() {
         relay::answer(proxied).await
     } else {
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -10,8 +10,8 @@
 };
 use toucanturn_core::{
     gateway::{
-        ask::Ask,
         endpoint::Load,
+        incoming_request::IncomingRequest,
         refusal::Refusal, //
     },
     units::Millis,
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ProtocolAdapter {
     /// Parses a request's head; the error says why it is invalid.
-    pub ask: fn(&Parts) -> Result<Ask, &'static str>,
+    pub parse_request: fn(&Parts) -> Result<IncomingRequest, &'static str>,
     /// Builds the header fields of the request to an endpoint from those of the caller.
     pub forward: fn(&HeaderMap, &ForwardContext<'_>) -> HeaderMap,
     /// Parses the header fields of an endpoint's answer.
--- a/crates/gateway/src/proxied.rs
+++ b/crates/gateway/src/proxied.rs
@@ -24,8 +24,8 @@
     arena::EndpointKey,
     gateway::{
         Gateway, Ticket,
-        ask::Ask,
         fingerprint::Content,
+        incoming_request::IncomingRequest,
         outcome::{
             AttemptOutcome,
             Next, //
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 pub(crate) struct ProxiedRequest {
     pub(crate) state: Shared,
-    pub(crate) ask: Ask,
+    pub(crate) incoming_request: IncomingRequest,
     pub(crate) ticket: Ticket,
     method: Method,
     uri: Uri,
@@ -132,13 +132,13 @@
     /// Creates the state of an admitted request.
     pub(crate) fn new(
         state: Shared,
-        (ask, ticket): (Ask, Ticket),
+        (incoming_request, ticket): (IncomingRequest, Ticket),
         (parts, body): (Parts, Bytes),
         began: Time,
     ) -> Self {
         Self {
             state,
-            ask,
+            incoming_request,
             ticket,
             method: parts.method,
             uri: parts.uri,
@@ -170,7 +170,7 @@
             workspace: self.ticket.workspace.as_ref().map(|w| &w.name),
             parts: [
                 self.method.as_str().as_bytes(),
-                &self.ask.host,
+                &self.incoming_request.host,
                 path.map_or(self.uri.path(), |p| p.as_str()).as_bytes(),
                 &self.body,
             ],
@@ -197,7 +197,7 @@
             self.identify();
             let placed = {
                 let mut gateway = self.state.gateway.borrow_mut();
-                gateway.place(now(), &self.ticket, &self.ask)?
+                gateway.place(now(), &self.ticket, &self.incoming_request)?
             };
             let connection = match self.connect(&placed).await {
                 Ok(connection) => connection,
@@ -253,7 +253,7 @@
         let mut gateway = self.state.gateway.borrow_mut();
         let next = gateway.unreached(now(), &mut self.ticket, placed.endpoint);
         if self.state.log.try_admit() {
-            let id = text(&self.ask.id);
+            let id = text(&self.incoming_request.id);
             let endpoint = endpoint_name(&gateway, placed.endpoint);
             tracing::warn!(event = 612, %id, %endpoint, error, %next, "endpoint not reached");
         }
@@ -277,7 +277,7 @@
             Ok(SendOutcome::Head(response)) => response,
             Ok(SendOutcome::Unsent) => return Err((guard, AttemptOutcome::NotSent, None)),
             Ok(SendOutcome::ConnectionLost(error)) => {
-                tracing::debug!(id = %text(&self.ask.id), %error, "connection broke before the answer's head");
+                tracing::debug!(id = %text(&self.incoming_request.id), %error, "connection broke before the answer's head");
                 return Err((guard, AttemptOutcome::Broken, None));
             }
             Err(_) => return Err((guard, AttemptOutcome::Stalled, None)),
@@ -289,7 +289,7 @@
             let mut gateway = self.state.gateway.borrow_mut();
             gateway.record_load(now(), placed.endpoint, load);
         }
-        if reply.id.as_ref() != Some(&self.ask.id) {
+        if reply.id.as_ref() != Some(&self.incoming_request.id) {
             return Err((guard, AttemptOutcome::Broken, status));
         }
         let misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
@@ -345,7 +345,7 @@
                 Ok(self.caller_response(&head, Either::Left(Full::new(body.to_bytes()))))
             }
             Ok(Err(error)) => {
-                tracing::debug!(id = %text(&self.ask.id), %error, "body of the answer ended early");
+                tracing::debug!(id = %text(&self.incoming_request.id), %error, "body of the answer ended early");
                 Err(AttemptOutcome::Broken)
             }
             Err(_) => Err(AttemptOutcome::Stalled),
@@ -400,7 +400,7 @@
             time_left: self.ticket.until.since(now()),
             priority: self.ticket.priority,
             resume,
-            generates: self.ask.prompt.is_some(),
+            generates: self.incoming_request.prompt.is_some(),
             holder: holder.map(|h| h.entry.address),
         };
         let mut request = Request::new(Full::new(self.body.clone()));
@@ -439,7 +439,7 @@
             let gateway = self.state.gateway.borrow();
             tracing::info!(
                 event = 611,
-                id = %text(&self.ask.id),
+                id = %text(&self.incoming_request.id),
                 endpoint = %endpoint_name(&gateway, endpoint),
                 attempt = self.ticket.tried.len(),
                 fate = %outcome,
@@ -459,7 +459,7 @@
             self.log_held();
         }
         let deadline = Some(self.ticket.deadline);
-        refuse(&self.state, &self.ask.id, refusal, deadline)
+        refuse(&self.state, &self.incoming_request.id, refusal, deadline)
     }
 
     /// Builds the caller's answer from an endpoint's.
@@ -493,7 +493,7 @@
         let crashes: Vec<String> = verdict.crashes.iter().map(seen).collect();
         tracing::warn!(
             event = 621,
-            id = %text(&self.ask.id),
+            id = %text(&self.incoming_request.id),
             %content,
             crashes = crashes.join(", "),
             left = verdict.left.0,
@@ -509,7 +509,7 @@
         let age = gateway.proof().age(now()).map_or(0, |a| a.0);
         tracing::info!(
             event = 610,
-            id = %text(&self.ask.id),
+            id = %text(&self.incoming_request.id),
             route = %text(&self.ticket.route.name),
             version = self.ticket.version,
             age,
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -70,7 +70,7 @@
 /// The head is sent with the first event. Until then another endpoint can be tried, and the caller
 /// can still get a refusal that says whether its request may have run.
 pub(crate) async fn answer(mut proxied: ProxiedRequest) -> Response<Body> {
-    let mut last = proxied.ask.resume;
+    let mut last = proxied.incoming_request.resume;
     loop {
         let attempt = match proxied.start(None).await {
             Ok(attempt) => attempt,
--- a/crates/replay/src/lab/fleet.rs
+++ b/crates/replay/src/lab/fleet.rs
@@ -21,11 +21,6 @@
         Change,
         Gateway,
         Ticket,
-        ask::{
-            Ask,
-            Part,
-            Prompt, //
-        },
         budget::Policy,
         catalog::{
             Catalog,
@@ -35,6 +30,11 @@
         },
         endpoint::Entry,
         fingerprint::Fingerprint,
+        incoming_request::{
+            IncomingRequest,
+            Part,
+            Prompt, //
+        },
         mesh::{
             EndpointReport, //
             FANOUT,
@@ -103,7 +103,7 @@
 struct Request {
     kind: usize,
     asked: u64,
-    ask: Ask,
+    incoming_request: IncomingRequest,
     output: u32,
     router: usize,
     engine: usize,
@@ -148,7 +148,7 @@
 pub fn play(sheet: &Sheet, seed: u64) -> Account {
     let mut fleet = Fleet::new(sheet, seed);
     for now in 1..sheet.length {
-        fleet.ask(now);
+        fleet.incoming_request(now);
         fleet.happen(now);
         fleet.work(now);
         fleet.tell(now);
@@ -179,7 +179,7 @@
     }
 
     /// Lets callers send what is new.
-    fn ask(&mut self, now: u64) {
+    fn incoming_request(&mut self, now: u64) {
         for kind in 0..self.sheet.kinds.len() {
             let of = |t: &Trouble| match *t {
                 Trouble::Burst { kind: k, times } if k == kind => times,
@@ -249,7 +249,7 @@
             engine: 0,
             ticket: None,
             fatal: false,
-            ask: Ask {
+            incoming_request: IncomingRequest {
                 id: Bytes::from(self.requests.len().to_string()),
                 host: Bytes::from_static(HOST),
                 path: Bytes::from_static(b"/"),
@@ -260,7 +260,7 @@
                     output: output * 2,
                 }),
                 hint: Some(output),
-                ..Ask::default()
+                ..IncomingRequest::default()
             },
         }
     }
@@ -310,7 +310,7 @@
         let at = Time(now);
         router.record_registry_read(at, at);
         let request = &mut self.requests[number];
-        let Ok(mut ticket) = router.admit(at, &request.ask) else {
+        let Ok(mut ticket) = router.admit(at, &request.incoming_request) else {
             return;
         };
         ticket.content = Some(content(number, request.fatal));
@@ -329,7 +329,7 @@
             name.split('.').next()?.parse::<usize>().ok()
         };
         let (placed, engine) = loop {
-            let placed = match router.place(at, &ticket, &request.ask) {
+            let placed = match router.place(at, &ticket, &request.incoming_request) {
                 Ok(placed) => placed,
                 Err(refusal) => {
                     let held = refusal.cause == Cause::Quarantined && !request.fatal;
@@ -349,7 +349,7 @@
         let holder = placed.holder.and_then(|key| index(router, key));
         request.engine = engine;
         request.ticket = Some((ticket, placed.endpoint));
-        let shared = request.ask.prompt.as_ref().map(|p| p.parts[0]);
+        let shared = request.incoming_request.prompt.as_ref().map(|p| p.parts[0]);
         if let (Some(holder), Some(part)) = (holder, shared)
             && self.engines[holder].holds(part.id)
             && !self.engines[engine].holds(part.id)
@@ -416,7 +416,7 @@
             over: load > MULTIPLE.0 * mean + MULTIPLE.1,
         });
         let request = &self.requests[number];
-        let Some(prompt) = &request.ask.prompt else {
+        let Some(prompt) = &request.incoming_request.prompt else {
             return;
         };
         let (shared, own) = (prompt.parts[0], prompt.parts[1]);
--- a/crates/replay/tests/lab_engine.rs
+++ b/crates/replay/tests/lab_engine.rs
@@ -1,7 +1,7 @@
 //! The laboratory's engine against arithmetic worked by hand.
 
 use googletest::prelude::*;
-use toucanturn_core::gateway::ask::Part;
+use toucanturn_core::gateway::incoming_request::Part;
 use toucanturn_replay::lab::{
     engine::{
         Engine,
