--- a/crates/core/tests/gateway/quarantine.rs
+++ b/crates/core/tests/gateway/quarantine.rs
@@ -217,8 +217,8 @@
     // The endpoints leave as planned later, which doesn't turn the broken connections into crashes.
     let removed = (0..8).map(|n| Change::Removed(entry(n).id));
     gateway.follow(Time(9000), removed.collect());
-    let crashed_at = (10..14).map(|n| Change::Entry(entry(n)));
-    gateway.follow(Time(9100), crashed_at.collect());
+    let returned = (10..14).map(|n| Change::Entry(entry(n)));
+    gateway.follow(Time(9100), returned.collect());
     expect_false!(is_quarantined(&mut gateway, Time(9200), "a"));
 }
 
