--- a/crates/core/src/gateway/attempt.rs
+++ b/crates/core/src/gateway/attempt.rs
@@ -23,7 +23,7 @@
         },
         outcome::{
             AttemptOutcome,
-            Next, //
+            NextStep, //
         },
         place,
         quarantine::{
@@ -359,7 +359,7 @@
         ticket: &mut Ticket,
         endpoint: EndpointKey,
         outcome: AttemptOutcome,
-    ) -> Next {
+    ) -> NextStep {
         self.record_outcome(now, ticket, endpoint, outcome);
         self.registry
             .ended(now, endpoint, outcome, now.since(ticket.sent));
@@ -392,13 +392,13 @@
     }
 
     /// Notes that the caller left during an attempt.
-    pub fn left(&mut self, now: Time, endpoint: EndpointKey) {
+    pub fn caller_left(&mut self, now: Time, endpoint: EndpointKey) {
         self.registry
             .ended(now, endpoint, AttemptOutcome::Left, Millis(0));
     }
 
     /// Notes that no connection to an endpoint could be made, so that nothing was sent.
-    pub fn unreached(&mut self, now: Time, ticket: &mut Ticket, endpoint: EndpointKey) -> Next {
+    pub fn unreached(&mut self, now: Time, ticket: &mut Ticket, endpoint: EndpointKey) -> NextStep {
         let cold = warmup_time(self.catalog.as_ref());
         self.registry.unreached(now, endpoint, cold);
         self.decide_next(now, ticket, endpoint, AttemptOutcome::NotSent)
@@ -410,7 +410,7 @@
         ticket: &mut Ticket,
         endpoint: EndpointKey,
         outcome: AttemptOutcome,
-    ) -> Next {
+    ) -> NextStep {
         if outcome == AttemptOutcome::NotSent {
             ticket.tried.retain(|k| *k != endpoint);
             ticket.unreached.push(endpoint);
@@ -419,7 +419,7 @@
         }
         ticket.may_have_run |= outcome.may_have_run();
         if matches!(outcome, AttemptOutcome::Answered | AttemptOutcome::Left) {
-            return Next::Deliver;
+            return NextStep::Deliver;
         }
         let may_continue = now < ticket.until && ticket.attempts() < ticket.route.attempts;
         let costs_no_retry = outcome == AttemptOutcome::NotSent && ticket.tried.is_empty();
@@ -427,9 +427,9 @@
             && (!ticket.may_have_run || ticket.route.kind.repeatable());
         let may_continue = may_continue && allowed && ticket.unreached.len() < MAX_UNREACHED;
         if may_continue && (costs_no_retry || self.reserve_retry(now, ticket)) {
-            Next::Again
+            NextStep::Again
         } else {
-            Next::GiveUp
+            NextStep::GiveUp
         }
     }
 
--- a/crates/core/src/gateway/outcome.rs
+++ b/crates/core/src/gateway/outcome.rs
@@ -63,10 +63,10 @@
     }
 }
 
-/// `Next` is what follows the end of an attempt.
+/// `NextStep` is what follows the end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
-pub enum Next {
+pub enum NextStep {
     /// The answer is delivered to the caller.
     Deliver,
     /// Another attempt is made.
--- a/crates/core/src/gateway/proof.rs
+++ b/crates/core/src/gateway/proof.rs
@@ -33,7 +33,7 @@
 
     /// Records that the answer to a call sent at `sent` announced something newer, which has not
     /// been read yet.
-    pub fn outdated(&mut self, sent: Time) {
+    pub fn record_newer_state(&mut self, sent: Time) {
         self.newer = self.newer.max(Some(sent));
     }
 
--- a/crates/core/src/gateway/refusal.rs
+++ b/crates/core/src/gateway/refusal.rs
@@ -47,9 +47,9 @@
     /// told when to retry.
     pub may_have_run: bool,
     /// Whether a retry could succeed.
-    pub again: bool,
+    pub retryable: bool,
     /// Time before which a retry can't succeed, if known.
-    pub after: Option<Millis>,
+    pub retry_after: Option<Millis>,
 }
 
 impl Refusal {
@@ -58,8 +58,8 @@
         Self {
             cause,
             may_have_run: false,
-            again: true,
-            after: None,
+            retryable: true,
+            retry_after: None,
         }
     }
 
@@ -68,8 +68,8 @@
         Self {
             cause,
             may_have_run: false,
-            again: false,
-            after: None,
+            retryable: false,
+            retry_after: None,
         }
     }
 
@@ -78,8 +78,8 @@
         Self {
             cause,
             may_have_run,
-            again: !may_have_run,
-            after: None,
+            retryable: !may_have_run,
+            retry_after: None,
         }
     }
 
@@ -91,7 +91,7 @@
     /// Gives up a request that may be served after the time `left`.
     pub const fn with_retry_after(cause: Cause, left: Millis, may_have_run: bool) -> Self {
         Self {
-            after: Some(left),
+            retry_after: Some(left),
             ..Self::given_up(cause, may_have_run)
         }
     }
--- a/crates/core/src/gateway/registry.rs
+++ b/crates/core/src/gateway/registry.rs
@@ -97,7 +97,7 @@
         now: Time,
         since: Option<Time>,
         entry: Entry,
-        news: &mut Vec<RegistryEvent>,
+        events: &mut Vec<RegistryEvent>,
     ) {
         let known = self.by_name.get(&entry.id);
         let endpoint = known.and_then(|k| self.endpoints.get(*k));
@@ -105,9 +105,9 @@
         match known_start.map(|born| entry.born.cmp(&born)) {
             // An endpoint always states its start time. An entry without one is from another writer
             // and identifies no incarnation.
-            Some(Ordering::Less) if entry.born.is_none() => return self.discard(&entry.id, news),
+            Some(Ordering::Less) if entry.born.is_none() => return self.discard(&entry.id, events),
             Some(Ordering::Less) => return,
-            Some(Ordering::Greater) => self.discard(&entry.id, news),
+            Some(Ordering::Greater) => self.discard(&entry.id, events),
             Some(Ordering::Equal) | None => {}
         }
         if let Some(key) = self.by_name.get(&entry.id)
@@ -116,7 +116,7 @@
             let moved = endpoint.entry.service != entry.service;
             endpoint.evacuated = self.evacuated.get(&entry.data_center).copied();
             if endpoint.update_entry(entry) {
-                news.push(state_news(endpoint));
+                events.push(state_event(endpoint));
             }
             endpoint.update_cold_until(now);
             if moved {
@@ -127,7 +127,7 @@
         let mut endpoint = Endpoint::new(since, entry);
         endpoint.evacuated = self.evacuated.get(&endpoint.entry.data_center).copied();
         endpoint.update_cold_until(now);
-        news.push(state_news(&endpoint));
+        events.push(state_event(&endpoint));
         let id = endpoint.entry.id.clone();
         let service = endpoint.entry.service.clone();
         let key = self.endpoints.insert(endpoint);
@@ -150,15 +150,15 @@
         now: Time,
         ids: &[Bytes],
         grace: Millis,
-        news: &mut Vec<RegistryEvent>,
+        events: &mut Vec<RegistryEvent>,
     ) {
         let recovered = self.recovered.filter(|at| now.since(*at) < grace);
         let depleted_services = self.depleted_services(ids);
         for id in ids {
             let lapsed =
-                recovered.is_some_and(|at| self.mark_lapsed(at, id, &depleted_services, news));
+                recovered.is_some_and(|at| self.mark_lapsed(at, id, &depleted_services, events));
             if !lapsed {
-                self.discard(id, news);
+                self.discard(id, events);
             }
         }
     }
@@ -184,7 +184,7 @@
     }
 
     /// Stops new requests to the endpoints of a data centre until it is restored.
-    pub fn evacuate(&mut self, now: Time, data_center: Bytes, news: &mut Vec<RegistryEvent>) {
+    pub fn evacuate(&mut self, now: Time, data_center: Bytes, events: &mut Vec<RegistryEvent>) {
         if self.evacuated.contains_key(&data_center) {
             return;
         }
@@ -192,7 +192,7 @@
         for endpoint in self.in_data_center(&data_center) {
             endpoint.evacuated = Some(now);
         }
-        news.push(RegistryEvent::Evacuated { data_center });
+        events.push(RegistryEvent::Evacuated { data_center });
     }
 
     /// Ends the evacuation of a data centre. Its endpoints may have become cold meanwhile, each for
@@ -202,7 +202,7 @@
         now: Time,
         data_center: &Bytes,
         cold: impl Fn(&Bytes) -> Millis,
-        news: &mut Vec<RegistryEvent>,
+        events: &mut Vec<RegistryEvent>,
     ) {
         if self.evacuated.shift_remove(data_center).is_none() {
             return;
@@ -211,7 +211,7 @@
             endpoint.evacuated = None;
             endpoint.doubt(now, cold(&endpoint.entry.service));
         }
-        news.push(RegistryEvent::Restored {
+        events.push(RegistryEvent::Restored {
             data_center: data_center.clone(),
         });
     }
@@ -222,19 +222,19 @@
     }
 
     /// Removes an endpoint immediately.
-    pub fn discard(&mut self, id: &Bytes, news: &mut Vec<RegistryEvent>) {
+    pub fn discard(&mut self, id: &Bytes, events: &mut Vec<RegistryEvent>) {
         let Some(key) = self.by_name.swap_remove(id) else {
             return;
         };
         if let Some(mut endpoint) = self.endpoints.remove(key) {
             endpoint.state = State::Gone;
-            news.push(state_news(&endpoint));
+            events.push(state_event(&endpoint));
         }
         self.rebuild_indexes();
     }
 
     /// Removes endpoints with lapsed entries after the grace period.
-    pub fn expire(&mut self, now: Time, grace: Millis, news: &mut Vec<RegistryEvent>) {
+    pub fn expire(&mut self, now: Time, grace: Millis, events: &mut Vec<RegistryEvent>) {
         let over = |e: &Endpoint| match e.state {
             State::Lapsed { returned } => now.since(returned) >= grace,
             _ => false,
@@ -242,7 +242,7 @@
         let gone = self.endpoints.values().filter(|e| over(e));
         let gone: Vec<Bytes> = gone.map(|e| e.entry.id.clone()).collect();
         for id in gone {
-            self.discard(&id, news);
+            self.discard(&id, events);
         }
     }
 
@@ -251,7 +251,7 @@
         returned: Time,
         id: &Bytes,
         depleted_services: &[Bytes],
-        news: &mut Vec<RegistryEvent>,
+        events: &mut Vec<RegistryEvent>,
     ) -> bool {
         let key = self.by_name.get(id);
         let Some(endpoint) = key.and_then(|k| self.endpoints.get_mut(*k)) else {
@@ -263,7 +263,7 @@
         match endpoint.state {
             State::Ready => {
                 endpoint.state = State::Lapsed { returned };
-                news.push(state_news(endpoint));
+                events.push(state_event(endpoint));
                 true
             }
             State::Lapsed { .. } => true,
@@ -364,7 +364,7 @@
     }
 }
 
-fn state_news(endpoint: &Endpoint) -> RegistryEvent {
+fn state_event(endpoint: &Endpoint) -> RegistryEvent {
     RegistryEvent::Endpoint {
         id: endpoint.entry.id.clone(),
         state: endpoint.state,
--- a/crates/core/src/gateway/updates.rs
+++ b/crates/core/src/gateway/updates.rs
@@ -108,12 +108,12 @@
 
     /// Notes that the answer to a call sent at `sent` shows that the registry holds newer state
     /// than what is known.
-    pub fn outdated(&mut self, sent: Time) {
-        self.proof.outdated(sent);
+    pub fn record_newer_state(&mut self, sent: Time) {
+        self.proof.record_newer_state(sent);
     }
 
     /// Applies the changes that one registry read found.
-    pub fn follow(&mut self, now: Time, changes: Vec<Change>) -> Vec<RegistryEvent> {
+    pub fn apply_changes(&mut self, now: Time, changes: Vec<Change>) -> Vec<RegistryEvent> {
         let mut events = Vec::new();
         let mut removed = Vec::new();
         // Endpoints listed by the first read have been there before this router started.
@@ -188,7 +188,7 @@
     }
 
     /// Takes in a peer's quarantine records.
-    pub fn crashed(&mut self, now: Time, records: &[Record]) {
+    pub fn record_peer_crashes(&mut self, now: Time, records: &[Record]) {
         self.quarantine.heard(now, records);
     }
 
--- a/crates/core/tests/gateway/budget.rs
+++ b/crates/core/tests/gateway/budget.rs
@@ -10,7 +10,7 @@
         },
         outcome::{
             AttemptOutcome,
-            Next, //
+            NextStep, //
         },
     },
     units::{
@@ -96,7 +96,7 @@
 }
 
 /// Sends a request whose first attempt fails; returns whether another attempt follows.
-fn fail_first_attempt(gateway: &mut Gateway, now: Time) -> Next {
+fn fail_first_attempt(gateway: &mut Gateway, now: Time) -> NextStep {
     let request = request("/read/x");
     gateway.record_registry_read(now, now);
     let mut ticket = gateway
@@ -112,7 +112,7 @@
 /// Sends five requests whose first attempts fail; returns how many are retried.
 fn count_retries(gateway: &mut Gateway, now: Time) -> usize {
     let results = (0..5).map(|_| fail_first_attempt(gateway, now));
-    results.filter(|next| *next == Next::Again).count()
+    results.filter(|next| *next == NextStep::Again).count()
 }
 
 /// Guards against a router that uses its part of the fleet's extra retries again after each restart: with 7
@@ -150,6 +150,7 @@
 #[gtest]
 fn verify_a_retry_counts_from_its_grant() {
     let mut gateway = gateway(2);
-    let retried = (0..20).filter(|_| fail_first_attempt(&mut gateway, Time(100)) == Next::Again);
+    let retried =
+        (0..20).filter(|_| fail_first_attempt(&mut gateway, Time(100)) == NextStep::Again);
     expect_that!(retried.count(), le(20 / 5 + 3));
 }
--- a/crates/core/tests/gateway/evacuation.rs
+++ b/crates/core/tests/gateway/evacuation.rs
@@ -34,7 +34,7 @@
         Change::Entry(entry(0)),
         Change::Entry(entry_in_b(1)),
     ];
-    gateway.follow(Time(0), changes);
+    gateway.apply_changes(Time(0), changes);
     gateway
 }
 
@@ -67,7 +67,7 @@
 #[gtest]
 fn verify_endpoints_listed_after_an_evacuation_get_no_requests() {
     let mut gateway = gateway();
-    gateway.follow(
+    gateway.apply_changes(
         Time(10),
         vec![evacuation_of("b"), Change::Entry(entry_in_b(2))],
     );
@@ -83,19 +83,21 @@
 fn verify_an_evacuation_and_its_end_are_reported_once() {
     let mut gateway = gateway();
     let data_center = Bytes::from_static(b"b");
-    let news = gateway.follow(Time(10), vec![evacuation_of("b"), evacuation_of("b")]);
+    let events = gateway.apply_changes(Time(10), vec![evacuation_of("b"), evacuation_of("b")]);
     expect_that!(
-        news,
+        events,
         elements_are![eq(&RegistryEvent::Evacuated {
             data_center: data_center.clone()
         })]
     );
     let restored = || Change::Restored(data_center.clone());
-    let news = gateway.follow(Time(20), vec![restored(), restored()]);
-    expect_that!(news.len(), eq(1));
+    let events = gateway.apply_changes(Time(20), vec![restored(), restored()]);
+    expect_that!(events.len(), eq(1));
     // After the data centre was restored, its next evacuation is reported again.
     expect_that!(
-        gateway.follow(Time(30), vec![evacuation_of("b")]).len(),
+        gateway
+            .apply_changes(Time(30), vec![evacuation_of("b")])
+            .len(),
         eq(1)
     );
 }
@@ -104,7 +106,7 @@
 #[gtest]
 fn verify_a_request_placed_before_an_evacuation_is_not_sent_after_it() {
     let mut gateway = gateway();
-    gateway.follow(Time(5), vec![evacuation_of("a")]);
+    gateway.apply_changes(Time(5), vec![evacuation_of("a")]);
     let request = request("/read/x");
     let ticket = gateway
         .admit(Time(10), &request)
@@ -112,7 +114,7 @@
     let placed = gateway
         .place(Time(10), &ticket, &request)
         .expect("an endpoint is available");
-    gateway.follow(Time(20), vec![evacuation_of("b")]);
+    gateway.apply_changes(Time(20), vec![evacuation_of("b")]);
     expect_false!(gateway.may_send_placed(Time(20), &ticket, &placed));
 }
 
@@ -137,7 +139,7 @@
 #[gtest]
 fn verify_requests_are_refused_at_once_when_a_whole_service_is_evacuated() {
     let mut gateway = gateway();
-    gateway.follow(Time(10), vec![evacuation_of("a"), evacuation_of("b")]);
+    gateway.apply_changes(Time(10), vec![evacuation_of("a"), evacuation_of("b")]);
     expect_that!(
         place_request(&mut gateway, Time(20)),
         err(eq(&Cause::NoEndpoint))
@@ -153,7 +155,7 @@
         prompt: Some(crate::fixture::prompt(shared, 1)),
         ..request("/chat/x")
     };
-    gateway.follow(Time(10), vec![evacuation_of("b")]);
+    gateway.apply_changes(Time(10), vec![evacuation_of("b")]);
     let holder = |gateway: &mut Gateway, now| {
         let request = chat_request(7);
         let ticket = gateway
--- a/crates/core/tests/gateway/fixture.rs
+++ b/crates/core/tests/gateway/fixture.rs
@@ -146,7 +146,7 @@
     let mut changes = vec![catalog_change(1)];
     changes.extend((0..endpoints).map(|n| Change::Entry(entry(n))));
     gateway.record_registry_read(Time(0), Time(0));
-    gateway.follow(Time(0), changes);
+    gateway.apply_changes(Time(0), changes);
     gateway
 }
 
--- a/crates/core/tests/gateway/flow.rs
+++ b/crates/core/tests/gateway/flow.rs
@@ -7,7 +7,7 @@
         Gateway, RegistryEvent, Ticket,
         outcome::{
             AttemptOutcome,
-            Next, //
+            NextStep, //
         },
         refusal::{
             Cause,
@@ -31,7 +31,7 @@
 fn cause_and_retryable(refused: std::result::Result<Ticket, Refusal>) -> (Cause, bool) {
     let refusal = refused.expect_err("the request is refused");
     expect_false!(refusal.may_have_run);
-    (refusal.cause, refusal.again)
+    (refusal.cause, refusal.retryable)
 }
 
 /// Sends the next attempt and ends it with `outcome`.
@@ -40,7 +40,7 @@
     ticket: &mut Ticket,
     path: &str,
     outcome: AttemptOutcome,
-) -> Next {
+) -> NextStep {
     let placed = gateway
         .place(Time(20), ticket, &request(path))
         .expect("an endpoint is available");
@@ -95,13 +95,13 @@
 #[gtest]
 fn verify_an_older_configuration_changes_nothing() {
     let mut gateway = gateway(1);
-    gateway.follow(Time(1), vec![catalog_change(9)]);
-    let news = gateway.follow(Time(2), vec![catalog_change(8)]);
+    gateway.apply_changes(Time(1), vec![catalog_change(9)]);
+    let events = gateway.apply_changes(Time(2), vec![catalog_change(8)]);
     let older = RegistryEvent::Older {
         version: 8,
         held: 9,
     };
-    expect_that!(news, elements_are![eq(&older)]);
+    expect_that!(events, elements_are![eq(&older)]);
     expect_that!(gateway.catalog().map(|c| c.version), some(eq(9)));
 }
 
@@ -117,7 +117,7 @@
             .admit(Time(10), &request("/once/x"))
             .expect("the request is admitted");
         let next = send_attempt(&mut gateway, &mut ticket, "/once/x", outcome);
-        expect_that!(next, eq(Next::GiveUp));
+        expect_that!(next, eq(NextStep::GiveUp));
         expect_true!(ticket.may_have_run);
     }
 }
@@ -134,7 +134,7 @@
         "/once/x",
         AttemptOutcome::Rejected,
     );
-    expect_that!(next, eq(Next::Again));
+    expect_that!(next, eq(NextStep::Again));
     let placed = gateway.place(Time(40), &ticket, &request("/once/x"));
     let retried = placed.expect("another endpoint is available").endpoint;
     expect_false!(ticket.tried.contains(&retried));
@@ -149,7 +149,7 @@
         .admit(Time(10), &request("/read/x"))
         .expect("the request is admitted");
     let next = send_attempt(&mut gateway, &mut ticket, "/read/x", AttemptOutcome::Broken);
-    expect_that!(next, eq(Next::Again));
+    expect_that!(next, eq(NextStep::Again));
     let placed = gateway
         .place(Time(40), &ticket, &request("/read/x"))
         .expect("an endpoint is available");
@@ -157,7 +157,7 @@
     let refusal = gateway.place(Time(60), &ticket, &request("/read/x"));
     let refusal = refusal.expect_err("all endpoints were tried");
     expect_true!(refusal.may_have_run);
-    expect_false!(refusal.again);
+    expect_false!(refusal.retryable);
 }
 
 #[gtest]
@@ -168,11 +168,11 @@
         .expect("the request is admitted");
     expect_that!(
         send_attempt(&mut gateway, &mut ticket, "/read/x", AttemptOutcome::Failed),
-        eq(Next::Again)
+        eq(NextStep::Again)
     );
     expect_that!(
         send_attempt(&mut gateway, &mut ticket, "/read/x", AttemptOutcome::Failed),
-        eq(Next::GiveUp)
+        eq(NextStep::GiveUp)
     );
 }
 
@@ -183,9 +183,10 @@
         let mut ticket = gateway
             .admit(Time(10), &request("/read/x"))
             .expect("the request is admitted");
-        send_attempt(&mut gateway, &mut ticket, "/read/x", AttemptOutcome::Failed) == Next::Again
+        send_attempt(&mut gateway, &mut ticket, "/read/x", AttemptOutcome::Failed)
+            == NextStep::Again
             && send_attempt(&mut gateway, &mut ticket, "/read/x", AttemptOutcome::Failed)
-                == Next::GiveUp
+                == NextStep::GiveUp
     });
     expect_that!(retried.count(), le(20 + 3));
 }
--- a/crates/core/tests/gateway/lives.rs
+++ b/crates/core/tests/gateway/lives.rs
@@ -23,7 +23,7 @@
         },
         outcome::{
             AttemptOutcome,
-            Next, //
+            NextStep, //
         },
     },
     units::{
@@ -47,7 +47,7 @@
 }
 
 fn apply_entry(gateway: &mut Gateway, now: u64, entry: Entry) {
-    gateway.follow(Time(now), vec![Change::Entry(entry)]);
+    gateway.apply_changes(Time(now), vec![Change::Entry(entry)]);
 }
 
 fn usable_count(gateway: &Gateway) -> usize {
@@ -140,7 +140,7 @@
         placed.endpoint,
         AttemptOutcome::Broken,
     );
-    expect_that!(next, eq(Next::GiveUp));
+    expect_that!(next, eq(NextStep::GiveUp));
     expect_true!(ticket.may_have_run);
     let (new_key, _) = gateway
         .registry()
@@ -148,7 +148,7 @@
         .next()
         .expect("the endpoint is listed");
     let next = gateway.ended(Time(8), &mut ticket, new_key, AttemptOutcome::Rejected);
-    expect_that!(next, eq(Next::GiveUp));
+    expect_that!(next, eq(NextStep::GiveUp));
     expect_true!(ticket.may_have_run);
 }
 
@@ -159,12 +159,12 @@
     let mut gateway = gateway(0);
     apply_entry(&mut gateway, 0, entry_started_at(0, 100));
     let removal = Change::Removed(Bytes::from_static(b"e-0"));
-    gateway.follow(
+    gateway.apply_changes(
         Time(5),
         vec![removal.clone(), Change::Entry(entry_started_at(0, 200))],
     );
     expect_that!(usable_count(&gateway), eq(1));
-    gateway.follow(
+    gateway.apply_changes(
         Time(6),
         vec![Change::Entry(entry_started_at(0, 300)), removal],
     );
@@ -183,7 +183,7 @@
     ] {
         apply_entry(&mut gateway, 0, entry_started_at(0, 100));
         apply_entry(&mut gateway, 0, entry_started_at(1, 100));
-        gateway.follow(Time(5), vec![invalid]);
+        gateway.apply_changes(Time(5), vec![invalid]);
         expect_that!(usable_count(&gateway), eq(1));
         apply_entry(&mut gateway, 6, entry_started_at(0, 100));
         expect_that!(usable_count(&gateway), eq(2));
@@ -232,7 +232,7 @@
             })
         };
         let changes = records.iter().map(change).collect();
-        self.gateway.follow(Time(now), changes);
+        self.gateway.apply_changes(Time(now), changes);
     }
 
     /// Lists the known endpoints: id, start time, whether they may get requests.
--- a/crates/core/tests/gateway/place.rs
+++ b/crates/core/tests/gateway/place.rs
@@ -199,7 +199,7 @@
         .map(|s| place_at(&mut gateway, s, Time(10)).endpoint)
         .collect();
     let joined = vec![Change::Entry(entry(50))];
-    gateway.follow(Time(20), joined);
+    gateway.apply_changes(Time(20), joined);
     let mut moved = 0;
     for (shared, held) in (0..60).zip(&before) {
         let now = place_at(&mut gateway, shared, Time(30));
@@ -223,7 +223,7 @@
         .expect("the id ends with a number");
     let mut leaving = entry(number);
     leaving.leaving = true;
-    gateway.follow(Time(20_010), vec![Change::Entry(leaving)]);
+    gateway.apply_changes(Time(20_010), vec![Change::Entry(leaving)]);
     let next = place_at(&mut gateway, 3, Time(20_020));
     expect_that!(next.endpoint, not(eq(held)));
     expect_that!(next.holder, some(eq(held)));
--- a/crates/core/tests/gateway/quarantine.rs
+++ b/crates/core/tests/gateway/quarantine.rs
@@ -97,7 +97,7 @@
     expect_that!(refusal.cause, eq(Cause::Quarantined));
     expect_false!(refusal.may_have_run);
     expect_that!(
-        refusal.after,
+        refusal.retry_after,
         some(ge(Millis(4000))),
         "an early retry can't succeed"
     );
@@ -216,9 +216,9 @@
     }
     // The endpoints leave as planned later, which doesn't turn the broken connections into crashes.
     let removed = (0..8).map(|n| Change::Removed(entry(n).id));
-    gateway.follow(Time(9000), removed.collect());
+    gateway.apply_changes(Time(9000), removed.collect());
     let returned = (10..14).map(|n| Change::Entry(entry(n)));
-    gateway.follow(Time(9100), returned.collect());
+    gateway.apply_changes(Time(9100), returned.collect());
     expect_false!(is_quarantined(&mut gateway, Time(9200), "a"));
 }
 
@@ -234,7 +234,7 @@
             break_connection(&mut one, now, &format!("fatal-{n}"), &id);
         }
         let (_, records) = one.digest_contents(Time(1300), 1);
-        other.crashed(Time(1310), &records);
+        other.record_peer_crashes(Time(1310), &records);
         for n in 0..4 {
             let now = Time(1700 + n * 300);
             let id = entry(u8::try_from(n).expect("the number fits")).id;
@@ -242,7 +242,7 @@
             other.tick(now + Millis(50));
             if forwarded {
                 let (_, records) = other.digest_contents(now + Millis(60), 1);
-                one.crashed(now + Millis(70), &records);
+                one.record_peer_crashes(now + Millis(70), &records);
                 one.tick(now + Millis(100));
             }
         }
@@ -270,7 +270,7 @@
             .expect("the endpoint is listed");
         let mut leaving = listed.entry.clone();
         leaving.leaving = true;
-        gateway.follow(now, vec![Change::Entry(leaving)]);
+        gateway.apply_changes(now, vec![Change::Entry(leaving)]);
         gateway.ended(now, &mut ticket, placed.endpoint, AttemptOutcome::Broken);
     }
     expect_false!(is_quarantined(&mut gateway, Time(8000), "a"));
@@ -320,7 +320,7 @@
         }],
         answered: None,
     }];
-    gateway.crashed(crashed_at, &records);
+    gateway.record_peer_crashes(crashed_at, &records);
     let trial_at = crashed_at + Millis(hold_ms * 12);
     expect_that!(
         count_admitted(&mut gateway, trial_at - Millis(1), 200),
@@ -348,7 +348,7 @@
         crashes: (0..3).map(crashes).collect(),
         answered: None,
     }];
-    gateway.crashed(Time(3400), &records);
+    gateway.record_peer_crashes(Time(3400), &records);
     expect_that!(
         count_admitted(&mut gateway, Time(3400 + hold_ms - 1), 200),
         eq(0)
@@ -392,7 +392,7 @@
         send_crashing_request(&mut other, Time(1000 + n * 300), "a");
     }
     let (_, records) = other.digest_contents(Time(2000), 1);
-    one.crashed(Time(2000), &records);
+    one.record_peer_crashes(Time(2000), &records);
     let mut ticket = admit_request(&mut one, Time(2500), "b");
     ticket.content = Some(fingerprint("a"));
     let key = one
@@ -407,9 +407,9 @@
     let later = Time(8000);
     expect_that!(one.digest_contents(later, 1).1, is_empty());
     let (_, records) = other.digest_contents(later, 1);
-    one.crashed(later, &records);
+    one.record_peer_crashes(later, &records);
     let (_, records) = one.digest_contents(later + GOSSIP_INTERVAL, 1);
-    other.crashed(later + GOSSIP_INTERVAL, &records);
+    other.record_peer_crashes(later + GOSSIP_INTERVAL, &records);
     expect_false!(is_quarantined(&mut other, later + GOSSIP_INTERVAL, "a"));
 }
 
@@ -513,7 +513,7 @@
                 let to = self.rng.random_range(0..self.routers.len());
                 let reachable = self.partition.is_none_or(|at| (n < at) == (to < at));
                 if reachable {
-                    self.routers[to].crashed(now, &records);
+                    self.routers[to].record_peer_crashes(now, &records);
                 }
             }
         }
--- a/crates/core/tests/gateway/registry.rs
+++ b/crates/core/tests/gateway/registry.rs
@@ -29,9 +29,9 @@
     let mut gateway = gateway(6);
     let mut leaving = entry(0);
     leaving.leaving = true;
-    gateway.follow(Time(10), vec![Change::Entry(leaving)]);
+    gateway.apply_changes(Time(10), vec![Change::Entry(leaving)]);
     expect_that!(usable_count(&gateway), eq(5));
-    gateway.follow(Time(20), removals(1..6));
+    gateway.apply_changes(Time(20), removals(1..6));
     expect_that!(usable_count(&gateway), eq(0));
     expect_false!(gateway.ready(Time(20)));
 }
@@ -43,9 +43,9 @@
 fn verify_a_service_whose_entries_lapsed_is_used_until_they_are_back() {
     let mut gateway = gateway(6);
     gateway.record_registry_read(Time(6000), Time(5990));
-    gateway.follow(Time(6000), removals(0..6));
+    gateway.apply_changes(Time(6000), removals(0..6));
     expect_that!(usable_count(&gateway), eq(6));
-    gateway.follow(Time(7000), vec![Change::Entry(entry(0))]);
+    gateway.apply_changes(Time(7000), vec![Change::Entry(entry(0))]);
     gateway.tick(Time(7999));
     expect_that!(usable_count(&gateway), eq(6));
     gateway.tick(Time(8000));
@@ -59,7 +59,7 @@
 fn verify_a_few_missing_endpoints_are_gone_even_after_an_outage() {
     let mut gateway = gateway(6);
     gateway.record_registry_read(Time(6000), Time(5990));
-    gateway.follow(Time(6000), removals(0..2));
+    gateway.apply_changes(Time(6000), removals(0..2));
     expect_that!(usable_count(&gateway), eq(4));
 }
 
@@ -70,7 +70,7 @@
 fn verify_a_late_copy_is_no_outage() {
     let mut gateway = gateway(6);
     gateway.record_registry_read(Time(1700), Time(1700));
-    gateway.follow(Time(1700), removals(0..6));
+    gateway.apply_changes(Time(1700), removals(0..6));
     expect_that!(usable_count(&gateway), eq(0));
 }
 
@@ -80,9 +80,9 @@
 #[gtest]
 fn verify_a_long_read_is_no_outage() {
     let mut gateway = gateway(6);
-    gateway.outdated(Time(1000));
+    gateway.record_newer_state(Time(1000));
     gateway.record_registry_read(Time(4900), Time(1000));
-    gateway.follow(Time(4900), removals(0..6));
+    gateway.apply_changes(Time(4900), removals(0..6));
     expect_that!(usable_count(&gateway), eq(0));
 }
 
@@ -90,9 +90,9 @@
 #[gtest]
 fn verify_an_outage_during_a_read_is_an_outage() {
     let mut gateway = gateway(6);
-    gateway.outdated(Time(1000));
+    gateway.record_newer_state(Time(1000));
     gateway.record_registry_read(Time(6000), Time(5990));
-    gateway.follow(Time(6000), removals(0..6));
+    gateway.apply_changes(Time(6000), removals(0..6));
     expect_that!(usable_count(&gateway), eq(6));
 }
 
@@ -104,9 +104,9 @@
         leaving.leaving = true;
         Change::Entry(leaving)
     });
-    gateway.follow(Time(10), leaving.collect());
+    gateway.apply_changes(Time(10), leaving.collect());
     gateway.record_registry_read(Time(6000), Time(5990));
-    gateway.follow(Time(6000), removals(0..6));
+    gateway.apply_changes(Time(6000), removals(0..6));
     expect_that!(usable_count(&gateway), eq(0));
     expect_true!(gateway.registry().is_empty());
 }
@@ -118,7 +118,7 @@
     other.id = Bytes::from_static(b"e-new");
     other.service = Bytes::from_static(b"others");
     let changes = vec![removals(0..1).remove(0), Change::Entry(other)];
-    gateway.follow(Time(10), changes);
+    gateway.apply_changes(Time(10), changes);
     expect_that!(gateway.registry().of(b"engines").count(), eq(0));
     expect_that!(gateway.registry().of(b"others").count(), eq(1));
 }
--- a/crates/core/tests/gateway/staying.rs
+++ b/crates/core/tests/gateway/staying.rs
@@ -107,7 +107,7 @@
     confirm_by_answer(&mut gateway, Time(2000));
     let mut leaving = entry(0);
     leaving.leaving = true;
-    gateway.follow(Time(2100), vec![Change::Entry(leaving)]);
+    gateway.apply_changes(Time(2100), vec![Change::Entry(leaving)]);
     expect_that!(
         try_place(&mut gateway, Time(2100)),
         err(eq(Cause::NoEndpoint))
@@ -127,7 +127,7 @@
     expect_true!(gateway.may_send(Time(2800), endpoint));
     let mut leaving = entry(0);
     leaving.leaving = true;
-    gateway.follow(Time(2900), vec![Change::Entry(leaving)]);
+    gateway.apply_changes(Time(2900), vec![Change::Entry(leaving)]);
     expect_false!(gateway.may_send(Time(2900), endpoint));
 }
 
@@ -222,7 +222,7 @@
         gateway.admit(Time(4749), &request("/read/x")),
         ok(anything())
     );
-    gateway.outdated(Time(1000));
+    gateway.record_newer_state(Time(1000));
     let refused = |gateway: &mut Gateway, now| {
         let admitted = gateway.admit(Time(now), &request("/read/x"));
         admitted.map(|_| ()).map_err(|refusal| refusal.cause)
--- a/crates/core/tests/gateway/warmup.rs
+++ b/crates/core/tests/gateway/warmup.rs
@@ -317,7 +317,7 @@
     let mut changes = vec![Change::Catalog(Box::new(catalog))];
     changes.extend(endpoints.iter().cloned().map(Change::Entry));
     gateway.record_registry_read(Time(0), Time(0));
-    gateway.follow(Time(0), changes);
+    gateway.apply_changes(Time(0), changes);
     run_lone_round(&mut gateway, Time(0));
     gateway
 }
@@ -370,7 +370,10 @@
         .admit(Time(4000), &request)
         .expect("the request is admitted");
     let refusal = gateway.place(Time(4000), &ticket, &request).unwrap_err();
-    expect_that!(refusal.after, some(all!(ge(Millis(150)), le(Millis(850)))));
+    expect_that!(
+        refusal.retry_after,
+        some(all!(ge(Millis(150)), le(Millis(850))))
+    );
     expect_false!(refusal.may_have_run);
 }
 
@@ -433,7 +436,7 @@
         .place(Time(4000), &ticket, &request)
         .expect("an endpoint is available");
     expect_true!(gateway.may_send_placed(Time(4000), &ticket, &placed));
-    gateway.follow(Time(4001), vec![Change::Entry(cold_entry(0, 3000))]);
+    gateway.apply_changes(Time(4001), vec![Change::Entry(cold_entry(0, 3000))]);
     expect_false!(gateway.may_send_placed(Time(4001), &ticket, &placed));
 }
 
@@ -442,10 +445,10 @@
 fn verify_endpoints_of_a_restored_data_center_are_taken_as_cold() {
     let mut gateway = gateway(&[entry(0)]);
     let name = Bytes::from_static(b"a");
-    gateway.follow(Time(4000), vec![Change::Evacuated(name.clone())]);
+    gateway.apply_changes(Time(4000), vec![Change::Evacuated(name.clone())]);
     run_lone_round(&mut gateway, Time(5000));
     expect_that!(send_until_refused(&mut gateway, Time(5000)).0, eq(0));
-    gateway.follow(Time(6000), vec![Change::Restored(name)]);
+    gateway.apply_changes(Time(6000), vec![Change::Restored(name)]);
     run_lone_round(&mut gateway, Time(6000));
     expect_that!(
         send_until_refused(&mut gateway, Time(6000)).0,
@@ -479,6 +482,6 @@
 #[gtest]
 fn verify_services_without_a_bound_are_not_limited_while_cold() {
     let mut gateway = crate::fixture::gateway(0);
-    gateway.follow(Time(0), vec![Change::Entry(cold_entry(0, 60_000))]);
+    gateway.apply_changes(Time(0), vec![Change::Entry(cold_entry(0, 60_000))]);
     expect_that!(send_until_refused(&mut gateway, Time(10)).0, eq(100));
 }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -33,7 +33,7 @@
 use toucanturn_core::{
     gateway::{
         incoming_request::IncomingRequest,
-        outcome::Next,
+        outcome::NextStep,
         refusal::{
             Cause,
             Refusal, //
@@ -208,7 +208,7 @@
             Err(refusal) => return failure.unwrap_or_else(|| proxied.refuse(refusal)),
         };
         match proxied.buffer_answer(attempt).await {
-            (Next::Again, answer) => failure = answer.ok().or(failure),
+            (NextStep::Again, answer) => failure = answer.ok().or(failure),
             (_, Ok(response)) => return response,
             (_, Err(outcome)) => {
                 let refusal = proxied.given_up(outcome.cause());
@@ -230,7 +230,9 @@
     let draw = xxhash_rust::xxh3::xxh3_64(id);
     let until = deadline.unwrap_or(now + DEFAULT_DEADLINE);
     let soon = || retry_delay(now, until, draw);
-    let wait = refusal.again.then(|| refusal.after.unwrap_or_else(soon));
+    let wait = refusal
+        .retryable
+        .then(|| refusal.retry_after.unwrap_or_else(soon));
     state.metrics.count("refusals", &refusal.cause.to_string());
     if state.log.try_admit() {
         let gateway = state.gateway.borrow();
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -112,20 +112,20 @@
 }
 
 fn apply_changes(state: &Shared, changes: Vec<Change>) {
-    let news = state.gateway.borrow_mut().follow(now(), changes);
-    for news in news {
-        if let RegistryEvent::Applied { version } = news
+    let events = state.gateway.borrow_mut().apply_changes(now(), changes);
+    for event in events {
+        if let RegistryEvent::Applied { version } = event
             && let Some(catalog) = state.gateway.borrow().catalog()
         {
             state.remember(version, catalog.secret);
         }
-        log(&news);
+        log(&event);
     }
 }
 
 /// Logs a change of the configuration, a data centre or an endpoint.
-pub(crate) fn log(news: &RegistryEvent) {
-    match news {
+pub(crate) fn log(event: &RegistryEvent) {
+    match event {
         RegistryEvent::Applied { version } => {
             tracing::info!(event = 653, version, "configuration in force");
         }
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -88,7 +88,7 @@
             if fresh {
                 let mut gateway = state.gateway.borrow_mut();
                 gateway.record_peer_report(now(), &digest.reports);
-                gateway.crashed(now(), &digest.crashes);
+                gateway.record_peer_crashes(now(), &digest.crashes);
                 // Samples name services by index, which is valid for one configuration version only.
                 if gateway.catalog().is_some_and(|c| c.version == epoch) {
                     gateway.record_peer_samples(now(), &digest.samples);
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -227,8 +227,8 @@
         let listed = |key| gateway.registry().get(key).is_some();
         state.pool.tick(now(), listed);
         drop(gateway);
-        for news in state.gateway.borrow_mut().tick(now()) {
-            crate::feed::log(&news);
+        for event in state.gateway.borrow_mut().tick(now()) {
+            crate::feed::log(&event);
         }
     }
 }
--- a/crates/gateway/src/proxied.rs
+++ b/crates/gateway/src/proxied.rs
@@ -28,7 +28,7 @@
         incoming_request::IncomingRequest,
         outcome::{
             AttemptOutcome,
-            Next, //
+            NextStep, //
         },
         place::Placed,
         quarantine::Crash,
@@ -101,7 +101,7 @@
     }
 
     /// Records how the attempt ended; returns what follows.
-    pub(crate) fn end(mut self, proxied: &mut ProxiedRequest, outcome: AttemptOutcome) -> Next {
+    pub(crate) fn end(mut self, proxied: &mut ProxiedRequest, outcome: AttemptOutcome) -> NextStep {
         self.active = false;
         let mut gateway = proxied.state.gateway.borrow_mut();
         gateway.ended(now(), &mut proxied.ticket, self.endpoint, outcome)
@@ -113,7 +113,7 @@
         if self.active {
             self.state.metrics.count("attempts", "left");
             let mut gateway = self.state.gateway.borrow_mut();
-            gateway.left(now(), self.endpoint);
+            gateway.caller_left(now(), self.endpoint);
         }
     }
 }
@@ -201,7 +201,7 @@
             };
             let connection = match self.connect(&placed).await {
                 Ok(connection) => connection,
-                Err(Next::Again) => continue,
+                Err(NextStep::Again) => continue,
                 Err(_) => return Err(self.given_up(Cause::NoEndpoint)),
             };
             if !self.may_send(&placed) {
@@ -214,7 +214,7 @@
                 Ok(attempt) => return Ok(attempt),
                 Err(ended) => ended,
             };
-            if self.end(guard, outcome, status) != Next::Again {
+            if self.end(guard, outcome, status) != NextStep::Again {
                 return Err(self.given_up(outcome.cause()));
             }
         }
@@ -230,7 +230,7 @@
         gateway.may_send_placed(now(), &self.ticket, placed)
     }
 
-    async fn connect(&mut self, placed: &Placed) -> Result<Connection, Next> {
+    async fn connect(&mut self, placed: &Placed) -> Result<Connection, NextStep> {
         if let Some(kept) = self.state.pool.take(now(), placed.endpoint) {
             return Ok(kept);
         }
@@ -326,7 +326,7 @@
     pub(crate) async fn buffer_answer(
         &mut self,
         attempt: Attempt,
-    ) -> (Next, Result<Response<Body>, AttemptOutcome>) {
+    ) -> (NextStep, Result<Response<Body>, AttemptOutcome>) {
         let Attempt {
             head,
             reply,
@@ -416,7 +416,7 @@
         guard: AttemptGuard,
         outcome: AttemptOutcome,
         status: Option<StatusCode>,
-    ) -> Next {
+    ) -> NextStep {
         match outcome {
             AttemptOutcome::Broken if self.ticket.content.is_none() => self.fingerprint(),
             AttemptOutcome::Answered | AttemptOutcome::Failed => {
--- a/crates/gateway/src/reads.rs
+++ b/crates/gateway/src/reads.rs
@@ -302,7 +302,10 @@
                     path = next;
                 }
                 RegistryStep::Newer(next) => {
-                    self.state.gateway.borrow_mut().outdated(self.sent);
+                    self.state
+                        .gateway
+                        .borrow_mut()
+                        .record_newer_state(self.sent);
                     watches = true;
                     path = next;
                 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -23,7 +23,7 @@
 use toucanturn_core::gateway::{
     outcome::{
         AttemptOutcome,
-        Next, //
+        NextStep, //
     },
     route::Kind,
 };
@@ -99,7 +99,7 @@
                 let next = relay.end(outcome);
                 last = relay.last;
                 proxied = relay.proxied;
-                if next != Next::Again {
+                if next != NextStep::Again {
                     return proxied.refuse(proxied.given_up(outcome.cause()));
                 }
             }
@@ -120,7 +120,7 @@
 /// Forwards an endpoint's error answer, which is not a stream.
 async fn failure(mut proxied: ProxiedRequest, attempt: Attempt) -> Response<Body> {
     match proxied.buffer_answer(attempt).await {
-        (Next::Again, Ok(_)) => Box::pin(answer(proxied)).await,
+        (NextStep::Again, Ok(_)) => Box::pin(answer(proxied)).await,
         (_, Ok(response)) => response,
         (_, Err(_)) => proxied.refuse(proxied.given_up(AttemptOutcome::Broken.cause())),
     }
@@ -196,10 +196,10 @@
 
     /// Ends a failed attempt and closes its connection, so that its endpoint stops before another one
     /// resumes the stream.
-    fn end(&mut self, outcome: AttemptOutcome) -> Next {
+    fn end(&mut self, outcome: AttemptOutcome) -> NextStep {
         self.events = EventSplitter::default();
         let Some(attempt) = self.attempt.take() else {
-            return Next::GiveUp;
+            return NextStep::GiveUp;
         };
         drop(attempt.connection);
         let status = attempt.head.status;
@@ -241,7 +241,7 @@
                 return None;
             }
             ended @ (Piece::Broken | Piece::Stalled) => {
-                if relay.end(ended.outcome()) != Next::Again || !relay.resume().await {
+                if relay.end(ended.outcome()) != NextStep::Again || !relay.resume().await {
                     return Some((Err(BodyAborted), None));
                 }
             }
--- a/crates/replay/src/lab/fleet.rs
+++ b/crates/replay/src/lab/fleet.rs
@@ -44,7 +44,7 @@
         },
         outcome::{
             AttemptOutcome,
-            Next as After, //
+            NextStep as After, //
         },
         quarantine::{
             Policy as Hold,
@@ -122,7 +122,7 @@
 
 /// What happens at a time.
 #[derive(Clone, Debug)]
-enum Next {
+enum NextStep {
     Try(usize),
     Arrive(usize, usize),
     Hear(usize, Vec<EndpointReport>, Vec<Sample>, Vec<Record>),
@@ -137,7 +137,7 @@
     engines: Vec<Engine>,
     lives: Vec<Life>,
     requests: Vec<Request>,
-    next: BTreeMap<u64, Vec<Next>>,
+    next: BTreeMap<u64, Vec<NextStep>>,
     account: Account,
     /// Shared parts that some engine has read.
     known: indexmap::IndexSet<u64>,
@@ -214,7 +214,7 @@
             on_time: false,
         });
         self.requests.push(request);
-        self.later(now, Next::Try(self.requests.len() - 1));
+        self.later(now, NextStep::Try(self.requests.len() - 1));
     }
 
     fn request(&mut self, now: u64, kind: usize) -> Request {
@@ -265,7 +265,7 @@
         }
     }
 
-    fn later(&mut self, at: u64, next: Next) {
+    fn later(&mut self, at: u64, next: NextStep) {
         self.next.entry(at).or_default().push(next);
     }
 
@@ -282,16 +282,16 @@
         while let Some(mut due) = self.next.remove(&now) {
             for next in due.drain(..) {
                 match next {
-                    Next::Try(number) if lost => self.later(now + RETRY, Next::Try(number)),
-                    Next::Try(number) => self.place(now, number),
-                    Next::Arrive(number, engine) => self.arrive(now, number, engine),
-                    Next::Hear(who, reports, samples, records) => {
+                    NextStep::Try(number) if lost => self.later(now + RETRY, NextStep::Try(number)),
+                    NextStep::Try(number) => self.place(now, number),
+                    NextStep::Arrive(number, engine) => self.arrive(now, number, engine),
+                    NextStep::Hear(who, reports, samples, records) => {
                         self.routers[who].record_peer_report(Time(now), &reports);
                         self.routers[who].record_peer_samples(Time(now), &samples);
-                        self.routers[who].crashed(Time(now), &records);
+                        self.routers[who].record_peer_crashes(Time(now), &records);
                     }
-                    Next::Broke(number) => self.broke(now, number),
-                    Next::Back(engine) => self.back(now, engine),
+                    NextStep::Broke(number) => self.broke(now, number),
+                    NextStep::Back(engine) => self.back(now, engine),
                 }
             }
         }
@@ -357,7 +357,7 @@
             self.engines[engine].fetch(&[part]);
             self.account.moved += u64::from(part.tokens);
         }
-        self.later(now + WAY, Next::Arrive(number, engine));
+        self.later(now + WAY, NextStep::Arrive(number, engine));
     }
 
     /// Ends an engine with all that it has.
@@ -370,13 +370,13 @@
         let broken: Vec<usize> = requests.filter(|(_, r)| there(r)).map(|(n, _)| n).collect();
         for number in broken {
             self.account.broken += usize::from(!self.requests[number].fatal);
-            self.later(now + WAY, Next::Broke(number));
+            self.later(now + WAY, NextStep::Broke(number));
         }
         let down = self.sheet.troubles.iter().find_map(|s| match s.trouble {
             Trouble::Fatal { down, .. } => Some(down),
             _ => None,
         });
-        self.later(now + down.unwrap_or(RETRY), Next::Back(engine));
+        self.later(now + down.unwrap_or(RETRY), NextStep::Back(engine));
     }
 
     fn broke(&mut self, now: u64, number: usize) {
@@ -402,7 +402,7 @@
         let new = entry(self.sheet, engine, before + 1);
         for router in &mut self.routers {
             let changes = vec![Change::Removed(old.clone()), Change::Entry(new.clone())];
-            router.follow(Time(now), changes);
+            router.apply_changes(Time(now), changes);
         }
     }
 
@@ -427,7 +427,7 @@
             self.account.fatal.push(now);
         }
         if self.lives[engine].down {
-            self.later(now + WAY, Next::Broke(number));
+            self.later(now + WAY, NextStep::Broke(number));
             return;
         }
         self.engines[engine].take(Job {
@@ -492,7 +492,7 @@
             let samples = router.samples();
             for _ in 0..FANOUT {
                 let whom = self.rng.random_range(0..self.routers.len());
-                let hear = Next::Hear(whom, reports.clone(), samples.clone(), records.clone());
+                let hear = NextStep::Hear(whom, reports.clone(), samples.clone(), records.clone());
                 self.later(now + WAY, hear);
             }
         }
@@ -537,7 +537,7 @@
     let mut changes = vec![Change::Catalog(Box::new(catalog()))];
     changes.extend((0..sheet.engines).map(|n| Change::Entry(entry(sheet, n, 0))));
     gateway.record_registry_read(Time(now), Time(now));
-    gateway.follow(Time(now), changes);
+    gateway.apply_changes(Time(now), changes);
     gateway.fleet(Time(now), u32::try_from(sheet.routers).unwrap_or(u32::MAX));
     gateway
 }
