--- a/crates/replay/src/lab/fleet.rs
+++ b/crates/replay/src/lab/fleet.rs
@@ -122,7 +122,7 @@
 
 /// What happens at a time.
 #[derive(Clone, Debug)]
-enum NextStep {
+enum Next {
     Try(usize),
     Arrive(usize, usize),
     Hear(usize, Vec<EndpointReport>, Vec<Sample>, Vec<Record>),
@@ -137,7 +137,7 @@
     engines: Vec<Engine>,
     lives: Vec<Life>,
     requests: Vec<Request>,
-    next: BTreeMap<u64, Vec<NextStep>>,
+    next: BTreeMap<u64, Vec<Next>>,
     account: Account,
     /// Shared parts that some engine has read.
     known: indexmap::IndexSet<u64>,
@@ -148,7 +148,7 @@
 pub fn play(sheet: &Sheet, seed: u64) -> Account {
     let mut fleet = Fleet::new(sheet, seed);
     for now in 1..sheet.length {
-        fleet.incoming_request(now);
+        fleet.ask(now);
         fleet.happen(now);
         fleet.work(now);
         fleet.tell(now);
@@ -179,7 +179,7 @@
     }
 
     /// Lets callers send what is new.
-    fn incoming_request(&mut self, now: u64) {
+    fn ask(&mut self, now: u64) {
         for kind in 0..self.sheet.kinds.len() {
             let of = |t: &Trouble| match *t {
                 Trouble::Burst { kind: k, times } if k == kind => times,
@@ -214,7 +214,7 @@
             on_time: false,
         });
         self.requests.push(request);
-        self.later(now, NextStep::Try(self.requests.len() - 1));
+        self.later(now, Next::Try(self.requests.len() - 1));
     }
 
     fn request(&mut self, now: u64, kind: usize) -> Request {
@@ -265,7 +265,7 @@
         }
     }
 
-    fn later(&mut self, at: u64, next: NextStep) {
+    fn later(&mut self, at: u64, next: Next) {
         self.next.entry(at).or_default().push(next);
     }
 
@@ -282,16 +282,16 @@
         while let Some(mut due) = self.next.remove(&now) {
             for next in due.drain(..) {
                 match next {
-                    NextStep::Try(number) if lost => self.later(now + RETRY, NextStep::Try(number)),
-                    NextStep::Try(number) => self.place(now, number),
-                    NextStep::Arrive(number, engine) => self.arrive(now, number, engine),
-                    NextStep::Hear(who, reports, samples, records) => {
+                    Next::Try(number) if lost => self.later(now + RETRY, Next::Try(number)),
+                    Next::Try(number) => self.place(now, number),
+                    Next::Arrive(number, engine) => self.arrive(now, number, engine),
+                    Next::Hear(who, reports, samples, records) => {
                         self.routers[who].record_peer_report(Time(now), &reports);
                         self.routers[who].record_peer_samples(Time(now), &samples);
                         self.routers[who].record_peer_crashes(Time(now), &records);
                     }
-                    NextStep::Broke(number) => self.broke(now, number),
-                    NextStep::Back(engine) => self.back(now, engine),
+                    Next::Broke(number) => self.broke(now, number),
+                    Next::Back(engine) => self.back(now, engine),
                 }
             }
         }
@@ -357,7 +357,7 @@
             self.engines[engine].fetch(&[part]);
             self.account.moved += u64::from(part.tokens);
         }
-        self.later(now + WAY, NextStep::Arrive(number, engine));
+        self.later(now + WAY, Next::Arrive(number, engine));
     }
 
     /// Ends an engine with all that it has.
@@ -370,13 +370,13 @@
         let broken: Vec<usize> = requests.filter(|(_, r)| there(r)).map(|(n, _)| n).collect();
         for number in broken {
             self.account.broken += usize::from(!self.requests[number].fatal);
-            self.later(now + WAY, NextStep::Broke(number));
+            self.later(now + WAY, Next::Broke(number));
         }
         let down = self.sheet.troubles.iter().find_map(|s| match s.trouble {
             Trouble::Fatal { down, .. } => Some(down),
             _ => None,
         });
-        self.later(now + down.unwrap_or(RETRY), NextStep::Back(engine));
+        self.later(now + down.unwrap_or(RETRY), Next::Back(engine));
     }
 
     fn broke(&mut self, now: u64, number: usize) {
@@ -427,7 +427,7 @@
             self.account.fatal.push(now);
         }
         if self.lives[engine].down {
-            self.later(now + WAY, NextStep::Broke(number));
+            self.later(now + WAY, Next::Broke(number));
             return;
         }
         self.engines[engine].take(Job {
@@ -492,7 +492,7 @@
             let samples = router.samples();
             for _ in 0..FANOUT {
                 let whom = self.rng.random_range(0..self.routers.len());
-                let hear = NextStep::Hear(whom, reports.clone(), samples.clone(), records.clone());
+                let hear = Next::Hear(whom, reports.clone(), samples.clone(), records.clone());
                 self.later(now + WAY, hear);
             }
         }
