--- a/crates/core/examples/bench_orders.rs
+++ b/crates/core/examples/bench_orders.rs
@@ -22,8 +22,8 @@
     },
     orders::{
         Loaded,
-        OrderContext, //
-        OrderScheduler,
+        OrderContext,
+        OrderScheduler, //
     },
     units::{
         Incarnation,
--- a/crates/core/examples/bench_place.rs
+++ b/crates/core/examples/bench_place.rs
@@ -21,8 +21,8 @@
     load::LoadTable,
     membership::{
         Observation,
-        SelfReport, //
-        View,
+        SelfReport,
+        View, //
     },
     peer::{
         Change,
--- a/crates/core/examples/measure_membership.rs
+++ b/crates/core/examples/measure_membership.rs
@@ -16,8 +16,8 @@
     membership::{
         damping::{
             DEFAULT_PARAMS,
-            DampingParams, //
-            Penalty,
+            DampingParams,
+            Penalty, //
         },
         pollers, //
     },
--- a/crates/core/examples/measure_retry.rs
+++ b/crates/core/examples/measure_retry.rs
@@ -16,8 +16,8 @@
     request::Code,
     retry::{
         self,
-        RefusalCause, //
-        RetryBudget,
+        RefusalCause,
+        RetryBudget, //
     },
     units::Millis,
 };
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -11,8 +11,8 @@
     orders::{
         Loaded,
         OrderNumber,
-        OrderOutcome, //
-        TokenReply,
+        OrderOutcome,
+        TokenReply, //
     },
     peer,
     request::{
--- a/crates/core/src/gateway/attempt.rs
+++ b/crates/core/src/gateway/attempt.rs
@@ -35,8 +35,8 @@
             Refusal, //
         },
         route::Route,
-        spread_retry_delay, //
-        updates::warmup_time,
+        spread_retry_delay,
+        updates::warmup_time, //
     },
     units::{
         Millis,
--- a/crates/core/src/gateway/registry.rs
+++ b/crates/core/src/gateway/registry.rs
@@ -18,8 +18,8 @@
             State, //
         },
         mesh::{
-            EndpointReport, //
-            MAX_REPORTS_WITHOUT_LOAD,
+            EndpointReport,
+            MAX_REPORTS_WITHOUT_LOAD, //
         },
         outcome::AttemptOutcome,
     },
--- a/crates/core/src/node/completion.rs
+++ b/crates/core/src/node/completion.rs
@@ -7,8 +7,8 @@
     Node,
     Stage,
     calls::RETRY_AFTER,
-    log_member, //
-    nth_attempt,
+    log_member,
+    nth_attempt, //
 };
 use crate::{
     action::{
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -74,8 +74,8 @@
 mod retries;
 
 use config_reads::{
-    ConfigReads, //
-    ReadResult,
+    ConfigReads,
+    ReadResult, //
 };
 
 /// `Options` is the identity of a node and the seed of its random numbers.
--- a/crates/core/src/node/orders.rs
+++ b/crates/core/src/node/orders.rs
@@ -10,11 +10,11 @@
     },
     arena::EndpointKey,
     orders::{
-        OrderAction, //
+        OrderAction,
         OrderContext,
         OrderNumber,
         OrderOutcome,
-        TokenReply,
+        TokenReply, //
     },
     units::Now,
 };
--- a/crates/core/src/orders/engine.rs
+++ b/crates/core/src/orders/engine.rs
@@ -6,8 +6,8 @@
 use super::message::{
     Change,
     Loaded,
-    Order, //
-    OrderNumber,
+    Order,
+    OrderNumber, //
 };
 use crate::{
     config::{
--- a/crates/core/tests/gateway/budget.rs
+++ b/crates/core/tests/gateway/budget.rs
@@ -5,8 +5,8 @@
     gateway::{
         Gateway,
         budget::{
-            Policy, //
-            RetryBudget,
+            Policy,
+            RetryBudget, //
         },
         outcome::{
             AttemptOutcome,
--- a/crates/core/tests/gateway/mesh.rs
+++ b/crates/core/tests/gateway/mesh.rs
@@ -15,9 +15,9 @@
     gateway::mesh::{
         Digest,
         GOSSIP_INTERVAL,
-        Heartbeat, //
+        Heartbeat,
         MAX_HEARTBEATS,
-        Mesh,
+        Mesh, //
     },
     units::{
         Incarnation,
--- a/crates/core/tests/gateway/reading.rs
+++ b/crates/core/tests/gateway/reading.rs
@@ -3,9 +3,9 @@
 use googletest::prelude::*;
 use toucanturn_core::{
     gateway::reading::{
-        ReadContext, //
+        ReadContext,
         ReadScheduler,
-        ReadTiming,
+        ReadTiming, //
     },
     units::{
         Millis,
--- a/crates/core/tests/membership/fixture.rs
+++ b/crates/core/tests/membership/fixture.rs
@@ -15,8 +15,8 @@
     ids::Id,
     membership::{
         Observation,
-        SelfReport, //
-        View,
+        SelfReport,
+        View, //
     },
     units::{
         Incarnation,
--- a/crates/core/tests/once/keys.rs
+++ b/crates/core/tests/once/keys.rs
@@ -30,9 +30,9 @@
     Rig,
     SKEW,
     STEP,
-    all_links_up, //
+    all_links_up,
     home_of,
-    key,
+    key, //
 };
 
 const FIVE: [&str; 5] = ["r1", "r2", "r3", "r4", "r5"];
--- a/crates/core/tests/once/lease.rs
+++ b/crates/core/tests/once/lease.rs
@@ -6,8 +6,8 @@
     STEP,
     all_links_up,
     change,
-    confirming_vote, //
-    fleet,
+    confirming_vote,
+    fleet, //
 };
 use googletest::prelude::*;
 use toucanturn_core::{
--- a/crates/core/tests/orders/sim.rs
+++ b/crates/core/tests/orders/sim.rs
@@ -30,12 +30,12 @@
         HoldReason,
         Loaded,
         Order,
-        OrderAction, //
+        OrderAction,
         OrderContext,
         OrderNumber,
         OrderOutcome,
         OrderScheduler,
-        TokenReply,
+        TokenReply, //
     },
     units::{
         Incarnation,
--- a/crates/core/tests/orders/views.rs
+++ b/crates/core/tests/orders/views.rs
@@ -6,8 +6,8 @@
         HoldReason,
         ORDER_TIMEOUT,
         OrderOutcome,
-        hold_off, //
-        peer_timeout,
+        hold_off,
+        peer_timeout, //
     },
     units::Millis,
 };
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -41,8 +41,8 @@
     },
     retry::{
         self,
-        RefusalCause, //
-        RetryBudget,
+        RefusalCause,
+        RetryBudget, //
     },
     units::{
         Incarnation,
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -34,8 +34,8 @@
     gateway::{
         Gateway,
         mesh::{
-            Heartbeat, //
-            Mesh,
+            Heartbeat,
+            Mesh, //
         },
     },
     ids::Tag,
--- a/crates/gateway/src/reads.rs
+++ b/crates/gateway/src/reads.rs
@@ -29,10 +29,10 @@
             Mirror, //
         },
         reading::{
-            ReadContext, //
+            ReadContext,
             ReadId,
             ReadScheduler,
-            ReadTiming,
+            ReadTiming, //
         },
     },
     units::{
--- a/crates/replay/src/lab/engine.rs
+++ b/crates/replay/src/lab/engine.rs
@@ -10,8 +10,8 @@
 
 use indexmap::IndexMap;
 use toucanturn_core::gateway::{
-    endpoint::Load, //
-    incoming_request::Part,
+    endpoint::Load,
+    incoming_request::Part, //
 };
 
 /// `Shape` is what an engine's maker states of it.
--- a/crates/replay/src/lab/fleet.rs
+++ b/crates/replay/src/lab/fleet.rs
@@ -36,11 +36,11 @@
             Prompt, //
         },
         mesh::{
-            EndpointReport, //
+            EndpointReport,
             FANOUT,
             GOSSIP_INTERVAL,
             MAX_REPORTS,
-            Sample,
+            Sample, //
         },
         outcome::{
             AttemptOutcome,
--- a/crates/router/src/orders.rs
+++ b/crates/router/src/orders.rs
@@ -28,8 +28,8 @@
         ORDER_TIMEOUT,
         Order,
         OrderNumber,
-        OrderOutcome, //
-        TokenReply,
+        OrderOutcome,
+        TokenReply, //
     },
     units::Millis,
 };
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -29,8 +29,8 @@
     clock_ms, control,
     document::{
         self,
-        ConfigSpec, //
-        EntrySpec,
+        ConfigSpec,
+        EntrySpec, //
     },
     replica::{
         Behavior,
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -8,8 +8,8 @@
     replica::{
         FATAL_REQUEST_MARKER,
         RequestEvent,
-        RequestEventKind, //
-        STREAM_EVENTS,
+        RequestEventKind,
+        STREAM_EVENTS, //
     },
 };
 
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -30,8 +30,8 @@
         Behavior, //
     },
     store::{
-        ControlCommand, //
-        Mode as Answers,
+        ControlCommand,
+        Mode as Answers, //
     },
 };
 use toucanturn_standin::link::{
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -3,8 +3,8 @@
 use googletest::prelude::*;
 use toucanturn_platform_standin::replica::{
     RequestEvent,
-    RequestEventKind, //
-    STREAM_EVENTS,
+    RequestEventKind,
+    STREAM_EVENTS, //
 };
 use toucanturn_soak::{
     judge::{
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -39,12 +39,12 @@
         fingerprint::Fingerprint,
         mesh::{
             Digest,
-            EndpointReport, //
+            EndpointReport,
             Heartbeat,
             MAX_HEARTBEATS,
             MAX_REPORTS,
             MAX_SAMPLES,
-            Sample,
+            Sample, //
         },
         mirror::{
             Delta,
--- a/crates/wire/tests/gossip.rs
+++ b/crates/wire/tests/gossip.rs
@@ -21,12 +21,12 @@
         mesh::{
             self,
             Digest,
-            EndpointReport, //
+            EndpointReport,
             Heartbeat,
             MAX_HEARTBEATS,
             MAX_REPORTS,
             MAX_SAMPLES,
-            Sample,
+            Sample, //
         },
         mirror::{
             Delta,
@@ -35,8 +35,8 @@
         quarantine::{
             self,
             MAX_CRASHES_PER_REQUEST,
-            MAX_DIGEST_CRASHES, //
-            MAX_DIGEST_RECORDS,
+            MAX_DIGEST_CRASHES,
+            MAX_DIGEST_RECORDS, //
         },
     },
     ids::Tag,
